--- a/crates/verbenahitch/src/domain/job.rs
+++ b/crates/verbenahitch/src/domain/job.rs
@@ -1,4 +1,4 @@
-//! Jobs, tasks, and what the store keeps of them.
+//! Jobs, tasks, and their stored records.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,19 +8,19 @@
 
 use super::{Checkpoint, EndedTasks, Millis, TaskSet};
 
-/// Identity of a job: team and the caller's own key for the submission.
+/// Identity of a job: the team and the caller's key for the submission.
 ///
-/// The same pair names the same job for ever, which makes submission idempotent.
+/// The same pair always identifies the same job, which makes submission idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct JobId(String);
 
 impl JobId {
-    /// Creates the identity from a team's name and its key for the submission.
+    /// Creates an identity from a team name and the caller's key.
     pub fn new(team: &str, key: &str) -> Self {
         Self(format!("{team}.{key}"))
     }
 
-    /// Identity as kept in store keys.
+    /// Identity as it appears in store keys.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -43,7 +43,7 @@
 pub struct TaskId {
     /// Job that the task belongs to.
     pub job: JobId,
-    /// Index of the task in its job, from zero.
+    /// Index of the task within its job, from zero.
     pub index: u32,
 }
 
@@ -53,28 +53,30 @@
     }
 }
 
-/// Identity of a shard: a bounded group of one availability zone's workers.
+/// Identity of a shard: a group of workers in one availability zone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ShardId {
-    /// Availability zone of all workers of the shard.
+    /// Availability zone of all workers in the shard.
     pub zone: String,
-    /// Number of the shard in its zone, from zero.
+    /// Index of the shard within its zone, from zero.
     pub index: u32,
 }
 
 impl ShardId {
     /// Shard of `worker` in a zone that is divided into `shards`.
     ///
-    /// The division rests on a digest that is the same in every version, so
-    /// that two processes never disagree about it.
+    /// The worker name is hashed with a digest that must not change between
+    /// versions, so that all processes assign a worker to the same shard.
     pub fn holding(zone: &str, worker: &str, shards: u32) -> Self {
         let digest = Sha256::digest(worker.as_bytes());
-        let (head, _) = digest.split_at(size_of::<u64>());
-        let number = head.iter().fold(0, |sum, byte| sum << 8 | u64::from(*byte));
+        let (prefix, _) = digest.split_at(size_of::<u64>());
+        let number = prefix
+            .iter()
+            .fold(0, |sum, byte| sum << 8 | u64::from(*byte));
         let index = number % u64::from(shards.max(1));
         Self {
             zone: zone.to_owned(),
-            index: u32::try_from(index).expect("an index is below a number of 32 bits"),
+            index: u32::try_from(index).expect("the index is below `shards`, a u32"),
         }
     }
 }
@@ -85,7 +87,7 @@
     }
 }
 
-/// What a caller asks for.
+/// Specification of a job as submitted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct JobSpec {
@@ -95,52 +97,52 @@
     pub tasks: u32,
     /// Declared run time of one task, in milliseconds.
     pub run_ms: Millis,
-    /// Input handed to every task.
+    /// Input passed to every task.
     #[serde(default)]
     pub payload: String,
 }
 
-/// How a task ended, as far as is known.
+/// Known outcome of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TaskOutcome {
-    /// Ran to its end once.
+    /// Ran to completion once.
     Done,
-    /// Ran and failed for good.
+    /// Ran and failed permanently.
     Failed,
-    /// Cancelled before its end.
+    /// Cancelled before completion.
     Cancelled,
-    /// May or may not have run to its end; not run again.
+    /// May or may not have run to completion; not run again.
     Unknown,
 }
 
-/// What the store keeps of a job.
+/// Stored record of a job.
 ///
 /// A task may be running, or may have ended unreported, only if its index is in
-/// `marked`: the owner commits the mark before it sends the start, and commits
-/// the end of a run, which takes the mark away, before it starts the task again.
+/// `marked`: the owner commits the mark before it sends the start. It commits the
+/// end of a run, which clears the mark, before it starts the task again.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct JobRecord {
     /// Identity of the job.
     pub id: JobId,
-    /// What was asked for.
+    /// Specification as submitted.
     pub spec: JobSpec,
-    /// Wall-clock time of acceptance, in milliseconds since the Unix epoch.
+    /// Wall-clock time of acceptance in milliseconds since the Unix epoch.
     pub accepted_ms: Millis,
-    /// Whether the caller cancelled the job.
+    /// Whether the job was cancelled by the caller.
     pub cancelled: bool,
-    /// Tasks that may have been started since the end of their last noted run.
+    /// Tasks that may have been started since the end of their last recorded run.
     pub marked: TaskSet,
-    /// Tasks that have ended, with their outcome.
+    /// Ended tasks by outcome.
     pub ended: EndedTasks,
-    /// Unfinished tasks that ran before, with the end of their last noted run.
+    /// Checkpoints of unfinished tasks that ran before, by task index.
     #[serde(default)]
     pub checkpoints: BTreeMap<u32, Checkpoint>,
 }
 
 impl JobRecord {
-    /// Creates the record of a job that has just been accepted.
+    /// Creates the record of a newly accepted job.
     pub fn new(id: JobId, spec: JobSpec, accepted_ms: Millis) -> Self {
         Self {
             id,
--- a/crates/verbenahitch/src/domain/key.rs
+++ b/crates/verbenahitch/src/domain/key.rs
@@ -1,6 +1,7 @@
-//! Small keys into the arenas of one scheduler process.
+//! Arena keys of workers, jobs and tasks.
 //!
-//! Keys never leave the process; [`super::JobId`] and worker names do.
+//! Keys are valid only within one scheduler process. [`super::JobId`] and worker
+//! names identify the same things on the wire and in the store.
 
 slotmap::new_key_type! {
     /// Key of a worker in its shard's arena.
@@ -15,6 +16,6 @@
 pub struct TaskKey {
     /// Job that the task belongs to.
     pub job: JobKey,
-    /// Index of the task in its job, from zero.
+    /// Index of the task within its job, from zero.
     pub index: u32,
 }
--- a/crates/verbenahitch/src/domain/mod.rs
+++ b/crates/verbenahitch/src/domain/mod.rs
@@ -1,7 +1,7 @@
-//! Types that every part of the system shares.
+//! Types shared by all modules.
 //!
-//! A *job* is what a caller submits; it consists of equal *tasks*, numbered from
-//! zero. Each task runs on one worker at a time. A job belongs to exactly one
+//! A *job* is what a caller submits; it consists of identical *tasks*, numbered
+//! from zero. Each task runs on one worker at a time. A job belongs to exactly one
 //! shard, and so do all its tasks.
 
 mod job;
--- a/crates/verbenahitch/src/domain/profile.rs
+++ b/crates/verbenahitch/src/domain/profile.rs
@@ -1,5 +1,5 @@
-//! Profiles: how a kind of work may share a host, be slowed or evicted, and
-//! what it is worth.
+//! Declared profiles: the resources, priority, and limits on slowdown and eviction
+//! of one kind of work.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,9 +9,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Class {
-    /// Answers callers; its tail latency counts.
+    /// Answers requests; measured by its tail latency.
     LatencyCritical,
-    /// Runs to an end; its completion counts.
+    /// Runs to completion; measured by finished work.
     Batch,
 }
 
@@ -21,9 +21,9 @@
 pub struct Eviction {
     /// Whether a running task may be evicted at all.
     pub allowed: bool,
-    /// Time a task gets to write its checkpoint, in milliseconds.
+    /// Time a task has to write its checkpoint before it is stopped, in milliseconds.
     pub grace_ms: Millis,
-    /// Most evictions of one task in an hour.
+    /// Maximum number of evictions of one task per hour.
     pub hourly_budget: u32,
 }
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// Declared treatment of one kind of work.
+/// Declared properties of one kind of work.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Profile {
@@ -45,38 +45,40 @@
     pub class: Class,
     /// Team whose quota the work counts against.
     pub team: String,
-    /// What each task commits of its host.
+    /// Resources that each task commits on its host.
     pub resources: Resources,
-    /// Worth of one finished task or one answered request, from 1 to 1000.
+    /// Value of one finished task or one answered request, from 1 to 1000.
     pub worth: u32,
-    /// Latency target of a request, or time a task is expected to run, in milliseconds.
+    /// Latency target of a request, or expected run time of a task, in milliseconds.
     pub target_ms: Millis,
-    /// Longest time from acceptance to the end, in milliseconds.
+    /// Maximum time from acceptance to completion, in milliseconds.
     pub deadline_ms: Millis,
-    /// Largest tolerated ratio of the time taken to the time taken alone, at least 1.0.
-    #[serde(default = "default_slowdown")]
+    /// Maximum tolerated ratio of the time taken to the time taken without
+    /// interference, at least 1.0.
+    #[serde(default = "default_max_slowdown")]
     pub max_slowdown: f64,
-    /// Least share of its processors that throttling leaves, from 0.0 to 1.0.
-    #[serde(default = "default_throttle")]
+    /// Minimum CPU share that throttling leaves a task, from 0.0 to 1.0.
+    #[serde(default = "default_min_share")]
     pub min_share: f64,
     /// Rules for evicting a task.
     #[serde(default)]
     pub eviction: Eviction,
-    /// Whether running the work twice has the effect of running it once.
+    /// Whether running the work twice has the same effect as running it once.
     pub idempotent: bool,
-    /// Whether tasks start ahead of all that is not urgent.
+    /// Whether tasks start before all tasks that are not urgent.
     #[serde(default)]
     pub urgent: bool,
-    /// Prior estimate of the pressure on latency-critical neighbours, from 0.0 to 1.0.
+    /// Prior estimate of the slowdown that one task adds to latency-critical work on
+    /// the same host, from 0.0 to 1.0.
     #[serde(default = "default_pressure")]
     pub pressure: f64,
 }
 
-fn default_slowdown() -> f64 {
+fn default_max_slowdown() -> f64 {
     1.5
 }
 
-fn default_throttle() -> f64 {
+fn default_min_share() -> f64 {
     0.25
 }
 
--- a/crates/verbenahitch/src/domain/resources.rs
+++ b/crates/verbenahitch/src/domain/resources.rs
@@ -1,4 +1,4 @@
-//! Processors, memory and accelerators.
+//! Amounts of CPU, memory and accelerators.
 
 use std::ops::{Add, AddAssign, Sub, SubAssign};
 
@@ -8,17 +8,17 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Resources {
-    /// Processor time in thousandths of a core.
+    /// CPU in thousandths of a core.
     pub millicores: u64,
     /// Memory in mebibytes.
     pub memory_mib: u64,
-    /// Whole accelerators.
+    /// Number of accelerators.
     #[serde(default)]
     pub accelerators: u64,
 }
 
 impl Resources {
-    /// Nothing of any resource.
+    /// Zero of every resource.
     pub const ZERO: Self = Self {
         millicores: 0,
         memory_mib: 0,
@@ -41,7 +41,7 @@
             && self.accelerators <= room.accelerators
     }
 
-    /// What is left of `self` without `other`, or `None` if any resource runs short.
+    /// `self` minus `other`, or `None` if `other` exceeds `self` in any resource.
     pub const fn checked_sub(self, other: Self) -> Option<Self> {
         if !other.fits(self) {
             return None;
@@ -53,7 +53,7 @@
         })
     }
 
-    /// What is left of `self` without `other`, at least zero of each.
+    /// `self` minus `other`, at least zero in each resource.
     pub const fn saturating_sub(self, other: Self) -> Self {
         Self {
             millicores: self.millicores.saturating_sub(other.millicores),
@@ -95,8 +95,8 @@
 
     /// # Panics
     ///
-    /// When `other` does not fit into `self`: releasing more than was committed
-    /// is a broken invariant.
+    /// If `other` exceeds `self` in any resource: releasing more than was committed
+    /// violates an invariant.
     fn sub(self, other: Self) -> Self {
         self.checked_sub(other)
             .expect("more resources released than committed")
--- a/crates/verbenahitch/src/domain/tasks.rs
+++ b/crates/verbenahitch/src/domain/tasks.rs
@@ -1,4 +1,4 @@
-//! Sets of task indices, compact enough for jobs of many thousand tasks.
+//! Compact sets of task indices, for jobs of many thousand tasks.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD_NO_PAD;
@@ -6,7 +6,7 @@
 
 use super::{Millis, TaskOutcome};
 
-/// Set of task indices; a bitmap in memory, base64 of it in JSON.
+/// Set of task indices; a bitmap in memory, base64 in JSON.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct TaskSet {
@@ -15,9 +15,9 @@
 }
 
 impl TaskSet {
-    /// Adds an index; says whether it was absent.
+    /// Adds an index; returns whether it was absent.
     pub fn insert(&mut self, index: u32) -> bool {
-        let (byte, mask) = place(index);
+        let (byte, mask) = bit_position(index);
         if byte >= self.bits.len() {
             self.bits.resize(byte + 1, 0);
         }
@@ -27,15 +27,15 @@
         absent
     }
 
-    /// Removes an index; says whether it was present.
+    /// Removes an index; returns whether it was present.
     pub fn remove(&mut self, index: u32) -> bool {
         if !self.contains(index) {
             return false;
         }
-        let (byte, mask) = place(index);
+        let (byte, mask) = bit_position(index);
         self.bits[byte] &= !mask;
         self.len -= 1;
-        // Equal sets have equal bytes.
+        // Trailing zero bytes are dropped, so that equal sets compare equal.
         while self.bits.last() == Some(&0) {
             self.bits.pop();
         }
@@ -44,7 +44,7 @@
 
     /// Whether an index is in the set.
     pub fn contains(&self, index: u32) -> bool {
-        let (byte, mask) = place(index);
+        let (byte, mask) = bit_position(index);
         self.bits.get(byte).is_some_and(|bits| bits & mask != 0)
     }
 
@@ -63,7 +63,7 @@
         *self = Self::default();
     }
 
-    /// Indices in rising order.
+    /// Indices in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
         let end = u32::try_from(self.bits.len() * 8).unwrap_or(u32::MAX);
         (0..end).filter(|index| self.contains(*index))
@@ -89,12 +89,12 @@
     }
 }
 
-fn place(index: u32) -> (usize, u8) {
+fn bit_position(index: u32) -> (usize, u8) {
     let byte = usize::try_from(index / 8).unwrap_or(usize::MAX);
     (byte, 1 << (index % 8))
 }
 
-/// Tasks that have ended, by outcome.
+/// Ended tasks by outcome.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct EndedTasks {
@@ -117,7 +117,7 @@
         .find(|outcome| self.set(*outcome).contains(index))
     }
 
-    /// Notes the outcome of a task in place of an earlier one.
+    /// Records the outcome of a task, replacing an earlier one.
     pub fn insert(&mut self, index: u32, outcome: TaskOutcome) {
         if let Some(earlier) = self.get(index) {
             self.set_mut(earlier).remove(index);
@@ -159,11 +159,11 @@
     }
 }
 
-/// Where an unfinished task goes on, and the run that this is known from.
+/// Progress from which an unfinished task resumes, and the run that reported it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Checkpoint {
-    /// Newest run whose end the store holds; zero for none in this shard.
+    /// Latest run whose end is stored; zero if none ended in this shard.
     pub run: u64,
     /// Progress in milliseconds of work.
     pub progress_ms: Millis,
--- a/crates/verbenahitch/src/domain/time.rs
+++ b/crates/verbenahitch/src/domain/time.rs
@@ -1,7 +1,7 @@
-//! Time as the decision logic sees it.
+//! Instants and durations of the decision logic.
 //!
-//! The logic never reads a clock. Every event carries a [`Monotonic`] instant,
-//! which only the process edge creates, so that tests and replay inject theirs.
+//! The decision logic never reads a clock. Every event carries a [`Monotonic`]
+//! instant that the I/O layer creates, so that tests and replay can inject their own.
 
 use std::ops::{Add, Sub};
 
@@ -10,14 +10,14 @@
 /// Duration in milliseconds.
 pub type Millis = u64;
 
-/// Instant in milliseconds since an arbitrary origin of this process.
+/// Instant in milliseconds since an arbitrary origin within this process.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Monotonic(pub Millis);
 
 impl Monotonic {
-    /// Milliseconds since `earlier`, zero if `earlier` is later.
+    /// Milliseconds since `earlier`, zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Self) -> Millis {
         self.0.saturating_sub(earlier.0)
     }
--- a/crates/verbenahitch/src/interference/estimate.rs
+++ b/crates/verbenahitch/src/interference/estimate.rs
@@ -1,59 +1,62 @@
-//! Estimates how strongly each batch profile slows each latency-critical one.
+//! Estimates how much each batch profile slows each latency-critical profile.
 //!
-//! For every latency-critical profile the reported latency is regressed on the
-//! activity of all batch profiles beside it at the time of the measurement:
+//! For every latency-critical profile, the reported latency is regressed on the
+//! activity of all batch profiles on the same worker at the time of the measurement:
 //!
-//! `latency = alone(load) * (1 + sum(slope[source] * units[source]))`
+//! `latency = baseline(load) * (1 + sum(slope[source] * activity[source]))`
 //!
-//! with `alone` a parabola of the logarithm of the reported number of answers,
-//! so that several sources on one worker share the slowdown by what each does
-//! elsewhere, and none takes the whole blame. Old measurements are forgotten
-//! exponentially. What the measurements leave open is filled by the prior: the
-//! `pressure` of the source's profile at first, then the estimates of the last
-//! minutes. So an estimate is kept while the sources lie so evenly that the
-//! measurements can't tell a slope from the latency alone.
+//! where `baseline` is a quadratic function of the logarithm of the reported number
+//! of answers. When several sources share a worker, the regression divides the slowdown
+//! among them by their effect on other workers, rather than attributing all of it to
+//! one. Old measurements decay exponentially.
+//! The prior of a slope is the `pressure` of the source's profile at first, then
+//! follows the estimates of the last minutes. It preserves an estimate while the
+//! sources are spread so evenly that the measurements can't separate their slopes
+//! from the baseline.
 //!
-//! A second regression over the last seconds explains what the first leaves
-//! over, with a prior of zero. It follows a wave of noise at once, where
-//! shorter forgetting alone would make every estimate noisy.
+//! A second regression over the last seconds fits the residuals of the first, with a
+//! prior of zero. It follows a sudden change at once; a shorter half-life of the
+//! first regression instead would make every estimate noisy.
 
 use crate::collections::HashMap;
 use crate::domain::{Millis, Monotonic};
 
 use super::matrix::Symmetric;
-use super::{ProfileId, Roster};
+use super::{ProfileId, ProfileTable};
 
 const HALF_LIFE_MS: f64 = 60_000.0;
-/// Time over which the prior of a slope follows what was measured.
+/// Time constant with which the prior of a slope follows its estimate.
 const PRIOR_MS: f64 = 300_000.0;
-const SURGE_HALF_LIFE_MS: f64 = 8_000.0;
-/// Inverse of the variance of a surge relative to the latency alone.
-const SURGE_PRECISION: f64 = 500.0;
+const RECENT_HALF_LIFE_MS: f64 = 8_000.0;
+/// Inverse variance of the prior of a recent deviation, relative to the baseline latency.
+const RECENT_PRECISION: f64 = 500.0;
 const REFRESH_MS: Millis = 1_000;
-const MOST_SOURCES: usize = 64;
-const FULL_COUNT: f64 = 50.0;
-/// Inverse of the variance of a measurement relative to the latency alone.
+const MAX_SOURCES: usize = 64;
+/// Number of answers from which a measurement has full weight.
+const FULL_WEIGHT_ANSWERS: f64 = 50.0;
+/// Inverse variance of a measurement, relative to the baseline latency.
 const MEASUREMENT_PRECISION: f64 = 16.0;
 const BASELINE_PRECISION: f64 = 0.01;
 const LOAD_PRECISION: f64 = 1.0;
 const SLOPE_PRECISION: f64 = 20.0;
-const LEAST_BASELINE: f64 = 0.02;
+const MIN_BASELINE: f64 = 0.02;
 const OUTLIER_RATIO: f64 = 8.0;
-const MOST_LOAD: f64 = 3.0;
+const MAX_LOAD: f64 = 3.0;
 const LOAD_SMOOTHING: f64 = 0.05;
-/// Columns before those of the sources: powers of the load.
-const FIXED: usize = 3;
+/// Number of columns for the powers of the load, which precede those of the sources.
+const LOAD_COLUMNS: usize = 3;
 
-/// How strongly one profile pressed on another.
+/// Estimated slowdown of one profile by another.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attribution {
-    /// Profile that was slowed.
+    /// Profile that is slowed.
     pub victim: String,
-    /// Profile that slowed it.
+    /// Profile that slows it.
     pub source: String,
-    /// Estimated ratio of the victim's latency to its latency alone, per task of the source.
+    /// Estimated ratio of the victim's latency beside one task of the source to its
+    /// baseline latency.
     pub slowdown: f64,
-    /// Measurements behind the estimate, after forgetting.
+    /// Effective number of measurements behind the estimate, after decay.
     pub weight: f64,
 }
 
@@ -64,55 +67,55 @@
     pub victim: ProfileId,
     /// Measured latency in microseconds.
     pub latency_us: f64,
-    /// Answers behind the measurement.
+    /// Number of answers in the measurement.
     pub count: f64,
-    /// Activity of each batch profile beside it, in units of a usual task.
-    pub units: &'a [(ProfileId, f64)],
+    /// Activity of each batch profile on the worker, relative to one typical task.
+    pub activity: &'a [(ProfileId, f64)],
 }
 
 #[derive(Debug)]
 struct Regression {
-    /// Latency in microseconds that counts as 1.0.
+    /// Latency in microseconds that is scaled to 1.0.
     scale: f64,
-    /// Number of answers that counts as load zero.
-    reference: f64,
-    /// Logarithm of the number of answers of late, relative to the reference.
+    /// Number of answers that corresponds to a load of zero.
+    reference_count: f64,
+    /// Smoothed logarithm of the number of answers relative to the reference.
     load: f64,
     sources: Vec<ProfileId>,
     columns: HashMap<ProfileId, usize>,
     moments: Symmetric,
     products: Vec<f64>,
-    /// Coefficients of the latency alone.
-    base: [f64; FIXED],
+    /// Coefficients of the baseline latency, by power of the load.
+    base: [f64; LOAD_COLUMNS],
     slopes: Vec<f64>,
     /// Mean of the prior of each slope.
     priors: Vec<f64>,
-    surge_moments: Symmetric,
-    surge_products: Vec<f64>,
-    /// What each source adds of late beyond its slope.
-    surges: Vec<f64>,
+    recent_moments: Symmetric,
+    recent_products: Vec<f64>,
+    /// Recent deviation of each source from its slope.
+    recent_deviations: Vec<f64>,
 }
 
 impl Regression {
     fn new(latency_us: f64, count: f64) -> Self {
         let mut moments = Symmetric::default();
-        for _ in 0..FIXED {
+        for _ in 0..LOAD_COLUMNS {
             moments.grow();
         }
         Self {
             scale: latency_us.max(1.0),
-            reference: count.max(1.0),
+            reference_count: count.max(1.0),
             load: 0.0,
             sources: Vec::new(),
             columns: HashMap::default(),
             moments,
-            products: vec![0.0; FIXED],
+            products: vec![0.0; LOAD_COLUMNS],
             base: [1.0, 0.0, 0.0],
             slopes: Vec::new(),
             priors: Vec::new(),
-            surge_moments: Symmetric::default(),
-            surge_products: Vec::new(),
-            surges: Vec::new(),
+            recent_moments: Symmetric::default(),
+            recent_products: Vec::new(),
+            recent_deviations: Vec::new(),
         }
     }
 
@@ -120,107 +123,114 @@
         if let Some(column) = self.columns.get(&source) {
             return Some(*column);
         }
-        if self.sources.len() >= MOST_SOURCES {
+        if self.sources.len() >= MAX_SOURCES {
             return None;
         }
-        let column = FIXED + self.sources.len();
+        let column = LOAD_COLUMNS + self.sources.len();
         self.columns.insert(source, column);
         self.sources.push(source);
         self.moments.grow();
         self.products.push(0.0);
-        self.surge_moments.grow();
-        self.surge_products.push(0.0);
+        self.recent_moments.grow();
+        self.recent_products.push(0.0);
         Some(column)
     }
 
     fn load_of(&self, count: f64) -> f64 {
-        let load = (count / self.reference).ln();
-        load.clamp(-MOST_LOAD, MOST_LOAD)
+        let load = (count / self.reference_count).ln();
+        load.clamp(-MAX_LOAD, MAX_LOAD)
     }
 
-    /// Latency alone at some load, relative to the scale.
-    fn alone(&self, load: f64) -> f64 {
+    /// Baseline latency at a load, relative to the scale.
+    fn baseline(&self, load: f64) -> f64 {
         let powers = powers(load);
         let sum: f64 = self.base.iter().zip(powers).map(|(a, b)| a * b).sum();
-        sum.max(LEAST_BASELINE)
+        sum.max(MIN_BASELINE)
     }
 
-    /// Measurements behind a column, each counted at its usual precision.
+    /// Effective number of measurements behind a column.
     fn weight(&self, column: usize) -> f64 {
-        let alone = self.alone(self.load);
-        self.moments.diagonal(column) * alone * alone / MEASUREMENT_PRECISION
+        let baseline = self.baseline(self.load);
+        self.moments.diagonal(column) * baseline * baseline / MEASUREMENT_PRECISION
     }
 
-    fn learn(&mut self, seen: &Observation<'_>) {
-        let load = self.load_of(seen.count);
+    fn learn(&mut self, sample: &Observation<'_>) {
+        let load = self.load_of(sample.count);
         self.load += LOAD_SMOOTHING * (load - self.load);
         let mut inputs: Vec<(usize, f64)> = powers(load).into_iter().enumerate().collect();
-        let alone = self.alone(load);
-        for (source, units) in seen.units {
-            inputs.extend(self.column(*source).map(|column| (column, *units)));
+        let baseline = self.baseline(load);
+        for (source, activity) in sample.activity {
+            inputs.extend(self.column(*source).map(|column| (column, *activity)));
         }
-        let latency = (seen.latency_us / self.scale).min(OUTLIER_RATIO * alone);
-        let precision = MEASUREMENT_PRECISION / (alone * alone);
-        let weight = precision * (seen.count / FULL_COUNT).min(1.0);
+        let latency = (sample.latency_us / self.scale).min(OUTLIER_RATIO * baseline);
+        let precision = MEASUREMENT_PRECISION / (baseline * baseline);
+        let weight = precision * (sample.count / FULL_WEIGHT_ANSWERS).min(1.0);
         for (row, x) in &inputs {
             self.products[*row] += weight * x * latency;
         }
         self.moments.add_outer(&inputs, weight);
-        self.learn_surge(&inputs[FIXED..], latency / alone, weight * alone * alone);
+        self.learn_recent(
+            &inputs[LOAD_COLUMNS..],
+            latency / baseline,
+            weight * baseline * baseline,
+        );
     }
 
-    fn learn_surge(&mut self, units: &[(usize, f64)], ratio: f64, weight: f64) {
-        let units: Vec<(usize, f64)> = units
+    fn learn_recent(&mut self, activity: &[(usize, f64)], ratio: f64, weight: f64) {
+        let activity: Vec<(usize, f64)> = activity
             .iter()
-            .map(|(column, units)| (column - FIXED, *units))
+            .map(|(column, activity)| (column - LOAD_COLUMNS, *activity))
             .collect();
-        if units.iter().any(|(at, _)| *at >= self.slopes.len()) {
+        if activity.iter().any(|(at, _)| *at >= self.slopes.len()) {
             return;
         }
         let slope = |at: usize| self.slopes[at];
-        let explained: f64 = units.iter().map(|(at, units)| units * slope(*at)).sum();
-        for (at, x) in &units {
-            self.surge_products[*at] += weight * x * (ratio - 1.0 - explained);
+        let explained: f64 = activity
+            .iter()
+            .map(|(at, activity)| activity * slope(*at))
+            .sum();
+        for (at, x) in &activity {
+            self.recent_products[*at] += weight * x * (ratio - 1.0 - explained);
         }
-        self.surge_moments.add_outer(&units, weight);
+        self.recent_moments.add_outer(&activity, weight);
     }
 
-    fn solve_surge(&mut self) {
-        let mut moments = self.surge_moments.clone();
+    fn solve_recent(&mut self) {
+        let mut moments = self.recent_moments.clone();
         for at in 0..moments.len() {
-            moments.add(at, at, SURGE_PRECISION);
+            moments.add(at, at, RECENT_PRECISION);
         }
-        self.surges = moments.solve(&self.surge_products);
+        self.recent_deviations = moments.solve(&self.recent_products);
     }
 
-    /// Part of the latency alone that a unit of the source at a position adds now.
+    /// Fraction of the baseline latency that one typical task of a source adds now.
     fn slope(&self, at: usize) -> Option<f64> {
-        let surge = self.surges.get(at).copied().unwrap_or(0.0);
-        Some((self.slopes.get(at)? + surge).max(0.0))
+        let recent = self.recent_deviations.get(at).copied().unwrap_or(0.0);
+        Some((self.slopes.get(at)? + recent).max(0.0))
     }
 
-    fn forget(&mut self, elapsed: Millis) {
-        let keep = kept(elapsed, HALF_LIFE_MS);
-        self.moments.scale(keep);
+    fn decay(&mut self, elapsed: Millis) {
+        let factor = decay_factor(elapsed, HALF_LIFE_MS);
+        self.moments.scale(factor);
         for product in &mut self.products {
-            *product *= keep;
+            *product *= factor;
         }
-        let keep = kept(elapsed, SURGE_HALF_LIFE_MS);
-        self.surge_moments.scale(keep);
-        for product in &mut self.surge_products {
-            *product *= keep;
+        let factor = decay_factor(elapsed, RECENT_HALF_LIFE_MS);
+        self.recent_moments.scale(factor);
+        for product in &mut self.recent_products {
+            *product *= factor;
         }
     }
 
-    fn solve(&mut self, roster: &Roster, elapsed: Millis) {
+    fn solve(&mut self, profiles: &ProfileTable, elapsed: Millis) {
         for source in &self.sources[self.priors.len()..] {
-            self.priors.push(roster.profile(*source).pressure);
+            self.priors.push(profiles.profile(*source).pressure);
         }
         let mut moments = self.moments.clone();
         let mut products = self.products.clone();
         let powers = powers(self.load);
-        let alone = self.alone(self.load);
-        let unit = 1.0 / (alone * alone);
+        let baseline = self.baseline(self.load);
+        let unit = 1.0 / (baseline * baseline);
         for (at, mean) in self.base.iter().enumerate() {
             let precision = unit
                 * if at == 0 {
@@ -232,17 +242,17 @@
             products[at] += precision * mean;
         }
         for (at, pressure) in self.priors.iter().enumerate() {
-            // The prior ties the slope to the latency alone, which is unknown too.
-            let mut tie = vec![(FIXED + at, 1.0)];
+            // The prior relates the slope to the baseline latency, which is estimated too.
+            let mut prior_row = vec![(LOAD_COLUMNS + at, 1.0)];
             let base = powers.iter().enumerate();
-            tie.extend(base.map(|(at, power)| (at, -pressure * power)));
-            moments.add_outer(&tie, SLOPE_PRECISION * unit);
+            prior_row.extend(base.map(|(at, power)| (at, -pressure * power)));
+            moments.add_outer(&prior_row, SLOPE_PRECISION * unit);
         }
         let solved = moments.solve(&products);
-        self.base.copy_from_slice(&solved[..FIXED]);
-        let alone = self.alone(self.load);
-        let slopes = solved[FIXED..].iter();
-        self.slopes = slopes.map(|slope| (slope / alone).max(0.0)).collect();
+        self.base.copy_from_slice(&solved[..LOAD_COLUMNS]);
+        let baseline = self.baseline(self.load);
+        let slopes = solved[LOAD_COLUMNS..].iter();
+        self.slopes = slopes.map(|slope| (slope / baseline).max(0.0)).collect();
         let gain = (elapsed as f64 / PRIOR_MS).min(1.0);
         for (prior, slope) in self.priors.iter_mut().zip(&self.slopes) {
             *prior += gain * (slope - *prior);
@@ -250,13 +260,13 @@
     }
 }
 
-/// Part of what is known that is left after `elapsed`.
-fn kept(elapsed: Millis, half_life_ms: f64) -> f64 {
+/// Factor by which old measurements decay within `elapsed`.
+fn decay_factor(elapsed: Millis, half_life_ms: f64) -> f64 {
     (-(elapsed as f64) / half_life_ms).exp2()
 }
 
-/// Powers of the load, one for each column of the latency alone.
-fn powers(load: f64) -> [f64; FIXED] {
+/// Powers of the load, one for each column of the baseline.
+fn powers(load: f64) -> [f64; LOAD_COLUMNS] {
     [1.0, load, load * load]
 }
 
@@ -268,52 +278,57 @@
 }
 
 impl Estimator {
-    /// Learns from one measurement; [`Self::refresh`] makes it count.
-    pub fn learn(&mut self, seen: &Observation<'_>) {
-        if seen.count <= 0.0 || seen.latency_us <= 0.0 {
+    /// Adds a measurement; estimates change with the next [`Self::refresh`].
+    pub fn learn(&mut self, sample: &Observation<'_>) {
+        if sample.count <= 0.0 || sample.latency_us <= 0.0 {
             return;
         }
-        let at = seen.victim.index();
+        let at = sample.victim.index();
         if self.victims.len() <= at {
             self.victims.resize_with(at + 1, || None);
         }
         self.victims[at]
-            .get_or_insert_with(|| Box::new(Regression::new(seen.latency_us, seen.count)))
-            .learn(seen);
+            .get_or_insert_with(|| Box::new(Regression::new(sample.latency_us, sample.count)))
+            .learn(sample);
     }
 
-    /// Works the estimates out again and forgets, at most once a second.
-    pub fn refresh(&mut self, roster: &Roster, now: Monotonic) {
+    /// Recomputes the estimates and decays old measurements, at most once a second.
+    pub fn refresh(&mut self, profiles: &ProfileTable, now: Monotonic) {
         let elapsed = now.since(self.refreshed);
         if elapsed < REFRESH_MS {
             return;
         }
         self.refreshed = now;
         for victim in self.victims.iter_mut().flatten() {
-            victim.solve(roster, elapsed);
-            victim.solve_surge();
-            victim.forget(elapsed);
+            victim.solve(profiles, elapsed);
+            victim.solve_recent();
+            victim.decay(elapsed);
         }
     }
 
-    /// Part of its latency alone that a usual task of `source` adds to `victim`.
-    pub fn slope(&self, roster: &Roster, victim: ProfileId, source: ProfileId) -> f64 {
-        let learnt = self.regression(victim).and_then(|regression| {
+    /// Fraction of its baseline latency that one typical task of `source` adds to `victim`.
+    pub fn slope(&self, profiles: &ProfileTable, victim: ProfileId, source: ProfileId) -> f64 {
+        let estimate = self.regression(victim).and_then(|regression| {
             let column = regression.columns.get(&source)?;
-            regression.slope(column - FIXED)
+            regression.slope(column - LOAD_COLUMNS)
         });
-        learnt.unwrap_or_else(|| roster.profile(source).pressure)
+        estimate.unwrap_or_else(|| profiles.profile(source).pressure)
     }
 
-    /// Part of its latency alone that all `units` together add to `victim`.
-    pub fn added(&self, roster: &Roster, victim: ProfileId, units: &[(ProfileId, f64)]) -> f64 {
-        let parts = units.iter();
+    /// Fraction of its baseline latency that all of `activity` adds to `victim`.
+    pub fn added(
+        &self,
+        profiles: &ProfileTable,
+        victim: ProfileId,
+        activity: &[(ProfileId, f64)],
+    ) -> f64 {
+        let parts = activity.iter();
         parts
-            .map(|(source, units)| units * self.slope(roster, victim, *source))
+            .map(|(source, activity)| activity * self.slope(profiles, victim, *source))
             .sum()
     }
 
-    /// Measurements behind the estimate of a pair, after forgetting.
+    /// Effective number of measurements behind the estimate of a pair, after decay.
     pub fn weight(&self, victim: ProfileId, source: ProfileId) -> f64 {
         let Some(regression) = self.regression(victim) else {
             return 0.0;
@@ -322,27 +337,27 @@
         column.map_or(0.0, |column| regression.weight(*column))
     }
 
-    /// Latency of a profile alone at its load of late, in microseconds.
-    pub fn alone_us(&self, victim: ProfileId) -> Option<f64> {
+    /// Baseline latency of a profile at its recent load, in microseconds.
+    pub fn baseline_us(&self, victim: ProfileId) -> Option<f64> {
         let regression = self.regression(victim)?;
-        Some(regression.alone(regression.load) * regression.scale)
+        Some(regression.baseline(regression.load) * regression.scale)
     }
 
-    /// Ratio of a measured latency to the latency alone at the same load.
+    /// Ratio of a measured latency to the baseline latency at the same load.
     pub fn ratio(&self, victim: ProfileId, latency_us: f64, count: f64) -> Option<f64> {
         let regression = self.regression(victim)?;
-        let alone = regression.alone(regression.load_of(count)) * regression.scale;
-        Some(latency_us / alone)
+        let baseline = regression.baseline(regression.load_of(count)) * regression.scale;
+        Some(latency_us / baseline)
     }
 
-    /// All pairs that were measured, the strongest first.
-    pub fn attributions(&self, roster: &Roster) -> Vec<Attribution> {
+    /// Estimates of all measured pairs, the largest slowdown first.
+    pub fn attributions(&self, profiles: &ProfileTable) -> Vec<Attribution> {
         let mut all: Vec<Attribution> = self
             .victims
             .iter()
             .enumerate()
             .filter_map(|(at, regression)| Some((at, regression.as_ref()?)))
-            .flat_map(|(at, regression)| pairs(roster, at, regression))
+            .flat_map(|(at, regression)| pairs(profiles, at, regression))
             .collect();
         all.sort_by(|a, b| {
             let strength = b.slowdown.total_cmp(&a.slowdown);
@@ -357,17 +372,17 @@
 }
 
 fn pairs<'a>(
-    roster: &'a Roster,
+    profiles: &'a ProfileTable,
     victim: usize,
     regression: &'a Regression,
 ) -> impl Iterator<Item = Attribution> + 'a {
     let sources = regression.sources.iter().enumerate();
     sources.filter_map(move |(at, source)| {
         Some(Attribution {
-            victim: roster.name_at(victim).to_string(),
-            source: roster.name(*source).to_string(),
+            victim: profiles.name_at(victim).to_string(),
+            source: profiles.name(*source).to_string(),
             slowdown: 1.0 + regression.slope(at)?,
-            weight: regression.weight(FIXED + at),
+            weight: regression.weight(LOAD_COLUMNS + at),
         })
     })
 }
--- a/crates/verbenahitch/src/interference/matrix.rs
+++ b/crates/verbenahitch/src/interference/matrix.rs
@@ -1,6 +1,6 @@
-//! A small symmetric matrix that grows by one row and column at a time.
+//! A small symmetric matrix that grows one row and column at a time.
 
-/// Lower triangle of a symmetric matrix.
+/// Symmetric matrix, stored as its lower triangle.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Symmetric {
     rows: Vec<Vec<f64>>,
@@ -17,12 +17,12 @@
         self.rows.push(vec![0.0; self.rows.len() + 1]);
     }
 
-    /// Element on the diagonal.
+    /// Diagonal element.
     pub(super) fn diagonal(&self, at: usize) -> f64 {
         self.rows[at][at]
     }
 
-    /// Adds `amount` to an element at or below the diagonal.
+    /// Adds `amount` to an element and to its mirror image.
     pub(super) fn add(&mut self, row: usize, column: usize, amount: f64) {
         let (row, column) = (row.max(column), row.min(column));
         self.rows[row][column] += amount;
@@ -37,26 +37,26 @@
         }
     }
 
-    /// Multiplies every element.
+    /// Multiplies every element by `factor`.
     pub(super) fn scale(&mut self, factor: f64) {
         for element in self.rows.iter_mut().flatten() {
             *element *= factor;
         }
     }
 
-    /// Solves `self * x = right` for a positive definite matrix by Cholesky's factorisation.
+    /// Solves `self * x = right` for a positive definite matrix by Cholesky factorization.
     pub(super) fn solve(mut self, right: &[f64]) -> Vec<f64> {
         self.factor();
         let mut x = right.to_vec();
         for row in 0..self.len() {
-            let known: f64 = (0..row).map(|k| self.rows[row][k] * x[k]).sum();
-            x[row] = (x[row] - known) / self.rows[row][row];
+            let sum: f64 = (0..row).map(|k| self.rows[row][k] * x[k]).sum();
+            x[row] = (x[row] - sum) / self.rows[row][row];
         }
         for row in (0..self.len()).rev() {
-            let known: f64 = (row + 1..self.len())
+            let sum: f64 = (row + 1..self.len())
                 .map(|k| self.rows[k][row] * x[k])
                 .sum();
-            x[row] = (x[row] - known) / self.rows[row][row];
+            x[row] = (x[row] - sum) / self.rows[row][row];
         }
         x
     }
@@ -64,10 +64,10 @@
     fn factor(&mut self) {
         for row in 0..self.len() {
             for column in 0..=row {
-                let known: f64 = (0..column)
+                let sum: f64 = (0..column)
                     .map(|k| self.rows[row][k] * self.rows[column][k])
                     .sum();
-                let rest = self.rows[row][column] - known;
+                let rest = self.rows[row][column] - sum;
                 self.rows[row][column] = if row == column {
                     rest.max(f64::MIN_POSITIVE).sqrt()
                 } else {
--- a/crates/verbenahitch/src/interference/mod.rs
+++ b/crates/verbenahitch/src/interference/mod.rs
@@ -1,10 +1,12 @@
-//! Interference: which profile slows which on a shared worker, and what to do
-//! about it.
+//! Interference between tasks on one worker: estimates of the slowdown, and actions
+//! against it.
 //!
-//! [`Estimator`] learns the slowdown of each pair of a latency-critical and a
-//! batch profile from lagging reports. [`Relief`] is what the placer asks for
-//! when a worker's answers stay too slow. docs/design/interference.md gives the
-//! model and the figures.
+//! [`Estimator`] estimates how much each batch profile (the *source*) slows each
+//! latency-critical profile (the *victim*), from usage reports that lag by seconds.
+//! Slowdowns are relative to the victim's *baseline* latency, which it has without
+//! interference. [`Relief`] is an action that the placer requests when the slowdown
+//! on a worker exceeds what the victim tolerates. docs/design/interference.md
+//! describes the model and gives measurements.
 
 mod estimate;
 mod matrix;
@@ -13,5 +15,5 @@
 
 pub use estimate::{Attribution, Estimator, Observation};
 pub use relief::Relief;
-pub(crate) use relief::{Hold, Measure, Strain, Suspect, Victim};
-pub use roster::{ProfileId, Roster};
+pub(crate) use relief::{Action, Controller, Slowdown, Suspect, Victim};
+pub use roster::{ProfileId, ProfileTable};
--- a/crates/verbenahitch/src/interference/relief.rs
+++ b/crates/verbenahitch/src/interference/relief.rs
@@ -1,53 +1,54 @@
-//! Measures against interference on one worker: throttle, then evict, and
-//! restore with hysteresis.
+//! Control of interference on one worker: throttle first, then evict, and restore
+//! shares with hysteresis.
 //!
-//! What counts is the slowdown that the estimates predict for the tasks that are
-//! on the worker now, and that part of the measured one beyond it which is
-//! more than noise. Reports lag and are noisy; the prediction is neither,
-//! since it rests on the reports of all workers.
+//! The controlled variable is the slowdown that the estimates predict for the tasks
+//! currently on the worker, plus the part of the measured slowdown beyond it that
+//! exceeds noise. Reports of a single worker lag and are noisy; the prediction is
+//! more stable and applies at once, because it combines the reports of all workers.
 //!
-//! Between the limit for placing a task and that for evicting one lies a gap,
-//! so that an evicted task is not placed where it would be evicted again. A
-//! slowdown that comes back after a restoration because the same work presses
-//! harder again doubles the wait before the next one, so that waves of noisy
-//! tasks don't make the shares swing.
+//! The limit for placing a task is lower than that for evicting one, so that an
+//! evicted task is not placed where it would be evicted again. If a slowdown returns
+//! after shares were restored because the same tasks contribute more again, the wait
+//! before the next restoration doubles, so that tasks with periodic load do not make
+//! the shares oscillate.
 
 use crate::domain::{Millis, Monotonic, TaskKey, WorkerKey};
 
 use super::ProfileId;
 
 const SMOOTHING: f64 = 0.1;
-/// Standard deviations above which a mean is more than noise.
-const SIGNIFICANT: f64 = 2.5;
-const FIRST_VARIANCE: f64 = 0.04;
-const SETTLE_MS: Millis = 2_000;
-const STALE_MS: Millis = 60_000;
-/// Part of the tolerated slowdown beyond which tasks are evicted early.
-const EVICT_PART: f64 = 1.4;
-/// Time above that part after which tasks are evicted.
-const EVICT_EARLY_MS: Millis = 5_000;
-/// Time above the tolerated slowdown after which tasks are evicted.
+/// Standard deviations beyond which a smoothed residual counts as more than noise.
+const SIGNIFICANT_DEVIATIONS: f64 = 2.5;
+const INITIAL_VARIANCE: f64 = 0.04;
+const ACTION_SETTLE_MS: Millis = 2_000;
+const REPORT_STALE_MS: Millis = 60_000;
+/// Multiple of the tolerated slowdown beyond which it counts as severe.
+const SEVERE_RATIO: f64 = 1.4;
+/// Time above the tolerated slowdown after which tasks are evicted if it is severe.
+const SEVERE_EVICT_MS: Millis = 5_000;
+/// Time above the tolerated slowdown after which tasks are evicted otherwise.
 const EVICT_MS: Millis = 20_000;
-const FIRST_RESTORE_MS: Millis = 5_000;
-/// Time after a restoration in which a slowdown may be its relapse.
+const MIN_RESTORE_WAIT_MS: Millis = 5_000;
+/// Time after a restoration within which a slowdown may count as a relapse.
 const RELAPSE_MS: Millis = 120_000;
-/// Growth of the blame of unthrottled tasks that makes a slowdown a relapse.
+/// Growth of the largest unthrottled contribution from which a slowdown is a relapse.
 const RELAPSE_RATIO: f64 = 1.5;
-const LONGEST_RESTORE_MS: Millis = 160_000;
-/// Part of the tolerated slowdown below which a worker counts as calm.
-const CALM_PART: f64 = 0.85;
-/// Part of the tolerated slowdown that throttled and restored shares aim at.
-const AIM_PART: f64 = 0.95;
-/// Least part of its latency alone that a task must add to be blamed.
-const LEAST_BLAME: f64 = 0.01;
-/// Least part of the most blamed task's blame that a task must carry to be blamed.
-const BLAME_PART: f64 = 0.25;
-const STEP: f64 = 0.5;
+const MAX_RESTORE_WAIT_MS: Millis = 160_000;
+/// Fraction of the tolerated slowdown up to which shares may be restored.
+const CALM_RATIO: f64 = 0.85;
+/// Fraction of the tolerated slowdown that throttling and restoring aim at.
+const TARGET_RATIO: f64 = 0.95;
+/// Minimum fraction of the baseline latency that a task adds to count as a contributor.
+const MIN_CONTRIBUTION: f64 = 0.01;
+/// Minimum contribution of a contributor, relative to the largest one.
+const MIN_CONTRIBUTION_RATIO: f64 = 0.25;
+/// Factor by which a share is reduced, and its inverse by which it is restored.
+const SHARE_STEP: f64 = 0.5;
 
-/// A measure against interference on one worker.
+/// An action against interference, for the caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Relief {
-    /// Change the share of processors of a task.
+    /// Change the CPU share of a task.
     Throttle {
         /// Worker.
         worker: WorkerKey,
@@ -65,279 +66,285 @@
     },
 }
 
-/// A latency-critical profile that answers on a worker.
+/// A latency-critical profile that is served on a worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Victim {
     /// Profile.
     pub(crate) profile: ProfileId,
-    /// Its tasks here; zero if only the upstream's reports name it.
-    pub(crate) residents: u32,
-    heard: Option<Monotonic>,
-    /// Smoothed difference between the measured and the predicted ratio.
-    surplus: f64,
+    /// Number of its tasks on the worker; zero if only the upstream's reports name it.
+    pub(crate) task_count: u32,
+    reported_at: Option<Monotonic>,
+    /// Smoothed difference between the measured and the predicted latency ratio.
+    residual: f64,
     variance: f64,
 }
 
 impl Victim {
-    /// Creates a victim that was never reported.
+    /// Creates a victim without reports.
     pub(crate) fn new(profile: ProfileId) -> Self {
         Self {
             profile,
-            residents: 0,
-            heard: None,
-            surplus: 0.0,
-            variance: FIRST_VARIANCE,
+            task_count: 0,
+            reported_at: None,
+            residual: 0.0,
+            variance: INITIAL_VARIANCE,
         }
     }
 
-    /// Takes over a report: by how much the measured ratio exceeds the predicted one.
-    pub(crate) fn report(&mut self, surplus: f64, now: Monotonic) {
-        let change = surplus - self.surplus;
-        self.surplus += SMOOTHING * change;
+    /// Updates the statistics with the difference between a measured and a predicted ratio.
+    pub(crate) fn report(&mut self, residual: f64, now: Monotonic) {
+        let change = residual - self.residual;
+        self.residual += SMOOTHING * change;
         self.variance += SMOOTHING * (change * change - self.variance);
-        self.heard = Some(now);
+        self.reported_at = Some(now);
     }
 
-    /// Whether its last report still counts.
+    /// Whether the last report is recent enough to count.
     pub(crate) fn is_fresh(&self, now: Monotonic) -> bool {
-        self.heard.is_some_and(|heard| now.since(heard) < STALE_MS)
+        self.reported_at
+            .is_some_and(|reported_at| now.since(reported_at) < REPORT_STALE_MS)
     }
 
-    /// Difference between the measured and the predicted slowdown that is more than noise.
+    /// Part of the smoothed residual that exceeds noise, zero without a recent report.
     pub(crate) fn unexplained(&self, now: Monotonic) -> f64 {
         if !self.is_fresh(now) {
             return 0.0;
         }
         let deviation = (self.variance * SMOOTHING / (2.0 - SMOOTHING)).sqrt();
-        let noise = SIGNIFICANT * deviation;
-        self.surplus - self.surplus.clamp(-noise, noise)
+        let noise = SIGNIFICANT_DEVIATIONS * deviation;
+        self.residual - self.residual.clamp(-noise, noise)
     }
 }
 
 /// Slowdown of a latency-critical profile on a worker.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Strain {
-    /// Part of its latency alone that is added now.
+pub(crate) struct Slowdown {
+    /// Fraction of the baseline latency that is added now.
     pub(crate) added: f64,
-    /// Part that is tolerated.
+    /// Fraction of the baseline latency that may be added.
     pub(crate) tolerated: f64,
 }
 
-/// A batch task that may be slowed or evicted.
+/// A batch task that may be throttled or evicted.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Suspect {
-    /// Position of the task on its worker.
+    /// Position of the task among the worker's residents.
     pub(crate) at: usize,
-    /// Largest part of a victim's latency alone that it adds at its present share.
-    pub(crate) blame: f64,
-    /// Its present share of processors.
+    /// Largest fraction of a victim's baseline latency that it adds at its current share.
+    pub(crate) contribution: f64,
+    /// Current CPU share.
     pub(crate) share: f64,
-    /// Least share that its profile allows.
+    /// Minimum share that its profile allows.
     pub(crate) min_share: f64,
-    /// Worth that is lost with it.
+    /// Worth that is lost if it is evicted.
     pub(crate) cost: f64,
     /// Whether it may be evicted.
     pub(crate) evictable: bool,
 }
 
-/// What to do about one task.
+/// An action on one task of the worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Measure {
-    /// Change its share.
-    Share {
-        /// Position of the task on its worker.
+pub(crate) enum Action {
+    /// Change its CPU share.
+    SetShare {
+        /// Position of the task among the worker's residents.
         at: usize,
         /// New share.
         share: f64,
     },
     /// Evict it.
     Evict {
-        /// Position of the task on its worker.
+        /// Position of the task among the worker's residents.
         at: usize,
     },
 }
 
-/// State of the measures on one worker.
+/// Decides on actions for one worker and keeps the state between decisions.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Hold {
-    hot: Option<Monotonic>,
-    acted: Option<Monotonic>,
-    calm: Option<Monotonic>,
-    /// When shares were last restored, and the largest blame of an unthrottled task then.
-    restored: Option<(Monotonic, f64)>,
+pub(crate) struct Controller {
+    exceeded_since: Option<Monotonic>,
+    acted_at: Option<Monotonic>,
+    calm_since: Option<Monotonic>,
+    /// Time of the last restoration, and the largest unthrottled contribution of a task then.
+    last_restore: Option<(Monotonic, f64)>,
     restore_wait: Millis,
 }
 
-impl Default for Hold {
+impl Default for Controller {
     fn default() -> Self {
         Self {
-            hot: None,
-            acted: None,
-            calm: None,
-            restored: None,
-            restore_wait: FIRST_RESTORE_MS,
+            exceeded_since: None,
+            acted_at: None,
+            calm_since: None,
+            last_restore: None,
+            restore_wait: MIN_RESTORE_WAIT_MS,
         }
     }
 }
 
-impl Hold {
-    /// Decides for one worker.
+impl Controller {
+    /// Decides on actions for the worker's current slowdowns.
     pub(crate) fn decide(
         &mut self,
-        strains: &[Strain],
+        slowdowns: &[Slowdown],
         suspects: &[Suspect],
         now: Monotonic,
-    ) -> Vec<Measure> {
-        let worst = strains
+    ) -> Vec<Action> {
+        let worst = slowdowns
             .iter()
             .max_by(|a, b| a.excess().total_cmp(&b.excess()));
         let Some(worst) = worst else {
             return self.restore(f64::INFINITY, suspects, now);
         };
         if worst.excess() > 0.0 {
-            return self.relieve(worst, suspects, now);
+            return self.reduce(worst, suspects, now);
         }
-        self.hot = None;
-        if worst.added > CALM_PART * worst.tolerated {
-            self.calm = None;
+        self.exceeded_since = None;
+        if worst.added > CALM_RATIO * worst.tolerated {
+            self.calm_since = None;
             return Vec::new();
         }
-        self.restore(worst.room(), suspects, now)
+        self.restore(worst.headroom(), suspects, now)
     }
 
-    fn relieve(&mut self, worst: &Strain, suspects: &[Suspect], now: Monotonic) -> Vec<Measure> {
-        self.calm = None;
-        let hot = *self.hot.get_or_insert(now);
-        let suspects = blamed(suspects);
-        let mut measures = throttles(-worst.room(), &suspects);
-        let severe = worst.added > EVICT_PART * worst.tolerated;
-        let patience = if severe { EVICT_EARLY_MS } else { EVICT_MS };
-        let due = now.since(hot) >= patience && !self.is_settling(now);
-        if measures.is_empty() && due {
-            measures.extend(eviction(&suspects));
+    fn reduce(&mut self, worst: &Slowdown, suspects: &[Suspect], now: Monotonic) -> Vec<Action> {
+        self.calm_since = None;
+        let exceeded_since = *self.exceeded_since.get_or_insert(now);
+        let suspects = contributors(suspects);
+        let mut actions = throttles(-worst.headroom(), &suspects);
+        let severe = worst.added > SEVERE_RATIO * worst.tolerated;
+        let eviction_delay = if severe { SEVERE_EVICT_MS } else { EVICT_MS };
+        let due = now.since(exceeded_since) >= eviction_delay && !self.is_settling(now);
+        if actions.is_empty() && due {
+            actions.extend(eviction(&suspects));
         }
-        if !measures.is_empty() {
-            self.acted = Some(now);
-            self.back_off(heaviest(&suspects), now);
+        if !actions.is_empty() {
+            self.acted_at = Some(now);
+            self.back_off(largest_contribution(&suspects), now);
         }
-        measures
+        actions
     }
 
     fn is_settling(&self, now: Monotonic) -> bool {
-        self.acted.is_some_and(|acted| now.since(acted) < SETTLE_MS)
+        self.acted_at
+            .is_some_and(|acted_at| now.since(acted_at) < ACTION_SETTLE_MS)
     }
 
-    /// Doubles the wait when the same work presses harder after a restoration.
-    fn back_off(&mut self, blame: f64, now: Monotonic) {
-        let Some((at, before)) = self.restored else {
+    /// Doubles the wait if the contribution has grown since a recent restoration.
+    fn back_off(&mut self, contribution: f64, now: Monotonic) {
+        let Some((at, before)) = self.last_restore else {
             return;
         };
-        if now.since(at) < RELAPSE_MS && blame > RELAPSE_RATIO * before {
-            self.restored = None;
-            self.restore_wait = (2 * self.restore_wait).min(LONGEST_RESTORE_MS);
+        if now.since(at) < RELAPSE_MS && contribution > RELAPSE_RATIO * before {
+            self.last_restore = None;
+            self.restore_wait = (2 * self.restore_wait).min(MAX_RESTORE_WAIT_MS);
         }
     }
 
-    fn restore(&mut self, room: f64, suspects: &[Suspect], now: Monotonic) -> Vec<Measure> {
-        let calm = *self.calm.get_or_insert(now);
-        if now.since(calm) < self.restore_wait {
+    fn restore(&mut self, headroom: f64, suspects: &[Suspect], now: Monotonic) -> Vec<Action> {
+        let calm_since = *self.calm_since.get_or_insert(now);
+        if now.since(calm_since) < self.restore_wait {
             return Vec::new();
         }
-        let measures = restorations(room, suspects);
-        if measures.is_empty() {
-            self.relax(now);
-            return measures;
+        let actions = restorations(headroom, suspects);
+        if actions.is_empty() {
+            self.halve_wait(now);
+            return actions;
         }
-        self.calm = Some(now);
-        self.restored = Some((now, heaviest(suspects)));
-        measures
+        self.calm_since = Some(now);
+        self.last_restore = Some((now, largest_contribution(suspects)));
+        actions
     }
 
-    /// Halves the wait after a long calm without any measure.
-    fn relax(&mut self, now: Monotonic) {
-        let acted = self.acted.max(self.restored.map(|(at, _)| at));
-        if acted.is_some_and(|at| now.since(at) < RELAPSE_MS) {
+    /// Halves the wait after a long time without actions.
+    fn halve_wait(&mut self, now: Monotonic) {
+        let acted_at = self.acted_at.max(self.last_restore.map(|(at, _)| at));
+        if acted_at.is_some_and(|at| now.since(at) < RELAPSE_MS) {
             return;
         }
-        self.acted = Some(now);
-        self.restore_wait = (self.restore_wait / 2).max(FIRST_RESTORE_MS);
+        self.acted_at = Some(now);
+        self.restore_wait = (self.restore_wait / 2).max(MIN_RESTORE_WAIT_MS);
     }
 }
 
-impl Strain {
+impl Slowdown {
     fn excess(&self) -> f64 {
         self.added - self.tolerated
     }
 
-    fn room(&self) -> f64 {
-        AIM_PART * self.tolerated - self.added
+    fn headroom(&self) -> f64 {
+        TARGET_RATIO * self.tolerated - self.added
     }
 }
 
-/// Tasks that carry a fair part of the slowdown.
-fn blamed(suspects: &[Suspect]) -> Vec<Suspect> {
-    let blames = suspects.iter().map(|suspect| suspect.blame);
-    let least = LEAST_BLAME.max(BLAME_PART * blames.fold(0.0, f64::max));
-    let mut blamed = suspects.to_vec();
-    blamed.retain(|suspect| suspect.blame >= least);
-    blamed
+/// Tasks that contribute significantly to the slowdown.
+fn contributors(suspects: &[Suspect]) -> Vec<Suspect> {
+    let contributions = suspects.iter().map(|suspect| suspect.contribution);
+    let min_contribution =
+        MIN_CONTRIBUTION.max(MIN_CONTRIBUTION_RATIO * contributions.fold(0.0, f64::max));
+    let mut contributors = suspects.to_vec();
+    contributors.retain(|suspect| suspect.contribution >= min_contribution);
+    contributors
 }
 
-/// Throttles the tasks that add most for their cost until `excess` is made up for.
-fn throttles(mut excess: f64, suspects: &[Suspect]) -> Vec<Measure> {
+/// Throttles the tasks with the highest benefit until their reductions cover `excess`.
+fn throttles(mut excess: f64, suspects: &[Suspect]) -> Vec<Action> {
     let mut order: Vec<&Suspect> = suspects
         .iter()
         .filter(|suspect| suspect.share > suspect.min_share)
         .collect();
-    order.sort_by(|a, b| value(b).total_cmp(&value(a)));
-    let mut measures = Vec::new();
+    order.sort_by(|a, b| benefit(b).total_cmp(&benefit(a)));
+    let mut actions = Vec::new();
     for suspect in order {
         if excess <= 0.0 {
             break;
         }
-        let share = (suspect.share * STEP).max(suspect.min_share);
-        excess -= suspect.blame * (1.0 - share / suspect.share);
+        let share = (suspect.share * SHARE_STEP).max(suspect.min_share);
+        excess -= suspect.contribution * (1.0 - share / suspect.share);
         let at = suspect.at;
-        measures.push(Measure::Share { at, share });
+        actions.push(Action::SetShare { at, share });
     }
-    measures
+    actions
 }
 
-/// Evicts the task that adds most for its cost.
-fn eviction(suspects: &[Suspect]) -> Option<Measure> {
+/// Evicts the task with the highest benefit.
+fn eviction(suspects: &[Suspect]) -> Option<Action> {
     suspects
         .iter()
         .filter(|suspect| suspect.evictable)
-        .max_by(|a, b| value(a).total_cmp(&value(b)))
-        .map(|suspect| Measure::Evict { at: suspect.at })
+        .max_by(|a, b| benefit(a).total_cmp(&benefit(b)))
+        .map(|suspect| Action::Evict { at: suspect.at })
 }
 
-/// Restores throttled tasks, the most costly first, as far as the predicted pressure has room.
-fn restorations(mut room: f64, suspects: &[Suspect]) -> Vec<Measure> {
+/// Restores shares within `headroom`, starting with the tasks of the lowest benefit.
+fn restorations(mut headroom: f64, suspects: &[Suspect]) -> Vec<Action> {
     let mut order: Vec<&Suspect> = suspects
         .iter()
         .filter(|suspect| suspect.share < 1.0)
         .collect();
-    order.sort_by(|a, b| value(a).total_cmp(&value(b)));
-    let mut measures = Vec::new();
+    order.sort_by(|a, b| benefit(a).total_cmp(&benefit(b)));
+    let mut actions = Vec::new();
     for suspect in order {
-        let share = (suspect.share / STEP).min(1.0);
-        let added = suspect.blame * (share / suspect.share - 1.0);
-        if added <= room {
-            room -= added;
+        let share = (suspect.share / SHARE_STEP).min(1.0);
+        let added = suspect.contribution * (share / suspect.share - 1.0);
+        if added <= headroom {
+            headroom -= added;
             let at = suspect.at;
-            measures.push(Measure::Share { at, share });
+            actions.push(Action::SetShare { at, share });
         }
     }
-    measures
+    actions
 }
 
-/// Largest blame that a task would have unthrottled.
-fn heaviest(suspects: &[Suspect]) -> f64 {
-    let blames = suspects.iter().map(|suspect| suspect.blame / suspect.share);
-    blames.fold(0.0, f64::max)
+/// Largest contribution that any of the tasks would have unthrottled.
+fn largest_contribution(suspects: &[Suspect]) -> f64 {
+    let contributions = suspects
+        .iter()
+        .map(|suspect| suspect.contribution / suspect.share);
+    contributions.fold(0.0, f64::max)
 }
 
-fn value(suspect: &Suspect) -> f64 {
-    suspect.blame / suspect.cost.max(0.01)
+/// Contribution of a task relative to the cost of evicting it.
+fn benefit(suspect: &Suspect) -> f64 {
+    suspect.contribution / suspect.cost.max(0.01)
 }
--- a/crates/verbenahitch/src/interference/roster.rs
+++ b/crates/verbenahitch/src/interference/roster.rs
@@ -1,11 +1,11 @@
-//! Small keys for profiles.
+//! Table that assigns each profile a dense integer key.
 
 use std::sync::Arc;
 
 use crate::collections::HashMap;
 use crate::domain::Profile;
 
-/// Key of a profile in its [`Roster`].
+/// Key of a profile in its [`ProfileTable`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProfileId(usize);
 
@@ -16,16 +16,16 @@
     }
 }
 
-/// Profiles by name and by key; a key stays valid for ever.
+/// Profiles by name and by key; keys are never reused.
 #[derive(Debug, Default)]
-pub struct Roster {
+pub struct ProfileTable {
     ids: HashMap<Arc<str>, ProfileId>,
     names: Vec<Arc<str>>,
     profiles: Vec<Arc<Profile>>,
 }
 
-impl Roster {
-    /// Key of a profile, added if it is new and replaced if it changed.
+impl ProfileTable {
+    /// Adds or replaces a profile; returns its key.
     pub fn add(&mut self, name: &Arc<str>, profile: &Arc<Profile>) -> ProfileId {
         if let Some(id) = self.ids.get(name) {
             self.profiles[id.0] = Arc::clone(profile);
@@ -38,7 +38,7 @@
         id
     }
 
-    /// Key of a profile as declared, added if it is new and replaced if it changed.
+    /// Like [`Self::add`], but copies the profile only if it is new or has changed.
     pub fn refresh(&mut self, name: &str, profile: &Profile) -> ProfileId {
         if let Some(id) = self.ids.get(name) {
             if *self.profiles[id.0] != *profile {
@@ -49,7 +49,7 @@
         self.add(&Arc::from(name), &Arc::new(profile.clone()))
     }
 
-    /// Key of a profile that was added.
+    /// Key of a profile, if it was added.
     pub fn id(&self, name: &str) -> Option<ProfileId> {
         self.ids.get(name).copied()
     }
@@ -59,12 +59,12 @@
         &self.names[id.0]
     }
 
-    /// Name of the profile at a position.
+    /// Name of the profile at an index.
     pub(super) fn name_at(&self, at: usize) -> &Arc<str> {
         &self.names[at]
     }
 
-    /// Profile as last added.
+    /// Profile in its last added version.
     pub fn profile(&self, id: ProfileId) -> &Arc<Profile> {
         &self.profiles[id.0]
     }
--- a/crates/verbenahitch/src/placement/choice.rs
+++ b/crates/verbenahitch/src/placement/choice.rs
@@ -1,4 +1,4 @@
-//! What is asked of the placer, and what it answers.
+//! Requests to the placer and its decisions.
 
 use std::sync::Arc;
 
@@ -6,18 +6,18 @@
 
 use crate::domain::{Millis, Monotonic, Profile, Resources, TaskKey, WorkerKey};
 
-/// Whether a worker may be given tasks.
+/// Whether a worker accepts tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerState {
-    /// Takes tasks.
+    /// Accepts tasks.
     Open,
-    /// Leaving or not yet heard: keeps its tasks, takes none.
+    /// Leaving, or not yet known to answer: keeps its tasks but accepts no new ones.
     Closed,
-    /// Takes one probe task at a time.
+    /// Accepts one probe task at a time.
     Quarantined,
 }
 
-/// A task that looks for a worker.
+/// A task to be placed.
 #[derive(Clone, Debug)]
 pub struct Ask {
     /// Task.
@@ -26,13 +26,13 @@
     pub name: Arc<str>,
     /// Its profile.
     pub profile: Arc<Profile>,
-    /// Worker that should not get it again, if another can.
+    /// Worker to avoid if another one can run the task.
     pub avoid: Option<WorkerKey>,
     /// Time that the task has waited, in milliseconds.
     pub waited_ms: Millis,
 }
 
-/// A task that occupies a worker.
+/// A task with resources committed on a worker.
 #[derive(Clone, Debug)]
 pub struct Resident {
     /// Task.
@@ -43,63 +43,63 @@
     pub name: Arc<str>,
     /// Its profile.
     pub profile: Arc<Profile>,
-    /// What it commits.
+    /// Committed resources.
     pub resources: Resources,
-    /// When it started.
+    /// Start of the run.
     pub since: Monotonic,
 }
 
-/// Outcome of a choice.
+/// Decision of the placer about one task.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Choice {
-    /// Give the task to a worker.
+    /// Start the task on a worker.
     Place {
-        /// Chosen worker.
+        /// Worker that was chosen.
         worker: WorkerKey,
         /// Second best worker, if any.
         runner_up: Option<WorkerKey>,
-        /// Why it was chosen.
+        /// Why the worker was chosen.
         reason: Reason,
     },
-    /// Evict tasks of a worker to make room, then choose again.
+    /// Evict tasks from a worker to make room, then choose again.
     Evict {
         /// Worker.
         worker: WorkerKey,
-        /// Its tasks to evict, the least worth first; none if the tasks that are
-        /// stopping already leave room enough.
+        /// Tasks to evict, the lowest worth first; empty if the tasks that are
+        /// already stopping leave enough room.
         victims: Vec<TaskKey>,
     },
-    /// Wait.
+    /// Keep the task waiting.
     Wait(Reason),
-    /// No worker could ever run it, in words.
+    /// No worker could ever run the task, with the reason as text.
     Never(String),
 }
 
-/// Why a choice was made.
+/// Reason for a decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// Leaves the least room unused.
+    /// Chosen by fit and rack spread, or because room was reserved on the worker.
     BestFit,
-    /// Presses least on its neighbours.
+    /// Chosen over a scored worker with a higher pressure.
     LeastPressure,
-    /// Probe of a quarantined worker.
+    /// The task probes a quarantined worker.
     Probe,
     /// No worker has room.
     NoRoom,
-    /// Room is being made for the task.
+    /// Room is reserved for the task, but evicted tasks still occupy it.
     Promised,
-    /// The team has used its quota.
+    /// The team's quota in this shard is used up.
     Quota,
-    /// Every worker with room would slow its neighbours too much.
+    /// Placement on any scored worker with room would slow latency-critical work too much.
     TooMuchPressure,
 }
 
-/// A worker was asked to hold more than its size.
+/// Commitment that exceeds the free resources of a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("{needed:?} does not fit into the {free:?} that are free"))]
+#[snafu(display("task needs {needed:?}, but the worker has only {free:?} free"))]
 pub struct Overcommit {
-    /// What the task needs.
+    /// Resources that the task needs.
     pub needed: Resources,
-    /// What is free.
+    /// Free resources of the worker.
     pub free: Resources,
 }
--- a/crates/verbenahitch/src/placement/choose.rs
+++ b/crates/verbenahitch/src/placement/choose.rs
@@ -1,74 +1,75 @@
 //! The choice of a worker for a task.
 //!
-//! A few workers are scored in full: the tightest ones that fit, and some
-//! sampled at random among all with the processors. So the cost hardly grows
-//! with the number of workers. Only when none of them will do, all are scanned.
+//! Only a few workers are scored: those with the least free CPU that fit, and a
+//! random sample of all that have enough CPU. This keeps the cost nearly
+//! independent of the number of workers. If none of them is acceptable, a scan
+//! through the index scores up to [`MAX_SCANNED`] workers with room.
 
 use crate::domain::{Class, Monotonic, Resources, WorkerKey};
 use crate::interference::ProfileId;
 
 use super::host::Host;
-use super::index::rotate;
+use super::index::rotation_start;
 use super::placer::Placer;
 use super::score::{Score, Scorer};
-use super::victim::{self, Sacrifice};
+use super::victim::{self, EvictionPlan};
 use super::{Ask, Choice, Reason};
 
-const TIGHTEST: usize = 4;
-const SAMPLED: usize = 8;
-const SACRIFICES: usize = 48;
-/// Workers with room that a scan looks at before it gives up.
-const SCANNED: usize = 64;
-/// Part of the tolerated slowdown that a task may bring its neighbours to.
+const TIGHT_CANDIDATES: usize = 4;
+const RANDOM_CANDIDATES: usize = 8;
+const MAX_EVICTION_PLANS: usize = 48;
+/// Workers with room that a scan scores before it gives up.
+const MAX_SCANNED: usize = 64;
+/// Fraction of the tolerated slowdown that a placement may cause on its worker.
 const PRESSURE_LIMIT: f64 = 0.95;
 
 impl Placer {
-    /// Chooses a worker for the task's declared size; changes nothing.
+    /// Chooses a worker for the task's declared resources, without changing any state.
     pub fn choose(&self, ask: &Ask, now: Monotonic) -> Choice {
         self.choose_sized(ask, ask.profile.resources, now)
     }
 
-    /// Chooses a worker that can commit `need` to the task; changes nothing.
+    /// Chooses a worker that can commit `need` to the task, without changing any state.
     pub fn choose_sized(&self, ask: &Ask, need: Resources, now: Monotonic) -> Choice {
-        if let Some(choice) = self.claimed(ask, need, now) {
+        if let Some(choice) = self.choose_reserved(ask, need, now) {
             return choice;
         }
-        if let Some(reason) = self.never(ask, need) {
+        if let Some(reason) = self.infeasible_reason(ask, need) {
             return Choice::Never(reason);
         }
         if !self.quotas.admits(&ask.profile.team, need) {
             return Choice::Wait(Reason::Quota);
         }
-        if let Some(worker) = self.probe(ask, need, now) {
+        if let Some(worker) = self.probe_worker(ask, need, now) {
             return Choice::Place {
                 worker,
                 runner_up: None,
                 reason: Reason::Probe,
             };
         }
-        self.best(ask, need, now)
+        self.choose_best(ask, need, now)
     }
 
-    fn claimed(&self, ask: &Ask, need: Resources, now: Monotonic) -> Option<Choice> {
-        let claim = self.claims.get(&ask.task)?;
-        let host = self.hosts.get(claim.worker)?;
-        if claim.until <= now || host.slot.is_none() {
+    fn choose_reserved(&self, ask: &Ask, need: Resources, now: Monotonic) -> Option<Choice> {
+        let reservation = self.reservations.get(&ask.task)?;
+        let host = self.hosts.get(reservation.worker)?;
+        if reservation.until <= now || host.position.is_none() {
             return None;
         }
         if !need.fits(host.free()) {
             return Some(Choice::Wait(Reason::Promised));
         }
         Some(Choice::Place {
-            worker: claim.worker,
+            worker: reservation.worker,
             runner_up: None,
             reason: Reason::BestFit,
         })
     }
 
-    /// Why the task could never run, if so.
-    fn never(&self, ask: &Ask, need: Resources) -> Option<String> {
+    /// Reason why no worker could ever run the task, if there is one.
+    fn infeasible_reason(&self, ask: &Ask, need: Resources) -> Option<String> {
         let team = &ask.profile.team;
-        if let Some(quota) = self.quotas.whole(team)
+        if let Some(quota) = self.quotas.total(team)
             && !need.fits(quota)
         {
             let short = shortfall(need, quota);
@@ -80,10 +81,10 @@
         let largest = self
             .sizes
             .keys()
-            .fold(Resources::ZERO, |most, size| Resources {
-                millicores: most.millicores.max(size.millicores),
-                memory_mib: most.memory_mib.max(size.memory_mib),
-                accelerators: most.accelerators.max(size.accelerators),
+            .fold(Resources::ZERO, |largest, size| Resources {
+                millicores: largest.millicores.max(size.millicores),
+                memory_mib: largest.memory_mib.max(size.memory_mib),
+                accelerators: largest.accelerators.max(size.accelerators),
             });
         if need.fits(largest) {
             return Some(format!("no single worker has all of {need:?}"));
@@ -94,20 +95,20 @@
         ))
     }
 
-    /// Quarantined worker that may be tried with this task.
-    fn probe(&self, ask: &Ask, need: Resources, now: Monotonic) -> Option<WorkerKey> {
+    /// Quarantined worker that this task may probe.
+    fn probe_worker(&self, ask: &Ask, need: Resources, now: Monotonic) -> Option<WorkerKey> {
         let profile = &ask.profile;
         if profile.class != Class::Batch || profile.urgent || !profile.idempotent {
             return None;
         }
-        let able = self.quarantined.iter().copied().find(|worker| {
+        let usable = self.quarantined.iter().copied().find(|worker| {
             let host = &self.hosts[*worker];
             host.may_probe(now) && need.fits(host.room())
         });
-        able.filter(|worker| ask.avoid != Some(*worker))
+        usable.filter(|worker| ask.avoid != Some(*worker))
     }
 
-    fn best(&self, ask: &Ask, need: Resources, now: Monotonic) -> Choice {
+    fn choose_best(&self, ask: &Ask, need: Resources, now: Monotonic) -> Choice {
         let mut search = Search::new(self, ask, need, now);
         search.sample();
         if search.best.is_none() {
@@ -124,54 +125,56 @@
                 },
             };
         }
-        if search.pressed {
+        if search.pressure_refused {
             return Choice::Wait(Reason::TooMuchPressure);
         }
-        match self.sacrifice(ask, need, now) {
-            Some((worker, sacrifice)) => Choice::Evict {
+        match self.plan_eviction(ask, need, now) {
+            Some((worker, plan)) => Choice::Evict {
                 worker,
-                victims: sacrifice.tasks,
+                victims: plan.tasks,
             },
             None => Choice::Wait(Reason::NoRoom),
         }
     }
 
-    /// Worker where the least worth has to be evicted for the task.
-    fn sacrifice(
+    /// Worker on which evicting for the task costs the least worth.
+    fn plan_eviction(
         &self,
         ask: &Ask,
         need: Resources,
         now: Monotonic,
-    ) -> Option<(WorkerKey, Sacrifice)> {
+    ) -> Option<(WorkerKey, EvictionPlan)> {
         if !ask.profile.urgent && ask.profile.class == Class::Batch {
             return None;
         }
-        // The turn does not depend on time, so that the same task asks for the
-        // same room until it is made.
-        let workers = self.index.upwards(Resources::ZERO, self.turn(ask, 0));
-        let mut best: Option<(WorkerKey, Sacrifice)> = None;
+        // The order must not depend on time, so that repeated calls for a task
+        // choose the same worker until its room is free.
+        let workers = self
+            .index
+            .ascending(Resources::ZERO, self.pseudo_random(ask, 0));
+        let mut best: Option<(WorkerKey, EvictionPlan)> = None;
         let mut found = 0;
         for worker in workers {
             let host = &self.hosts[worker];
-            let Some(next) = victim::least(host, &ask.profile, need, &self.budgets, now) else {
+            let Some(next) = victim::cheapest(host, &ask.profile, need, &self.budgets, now) else {
                 continue;
             };
             found += 1;
             if best.as_ref().is_none_or(|(_, best)| next.cost < best.cost) {
                 best = Some((worker, next));
             }
-            if found == SACRIFICES {
+            if found == MAX_EVICTION_PLANS {
                 break;
             }
         }
         best
     }
 
-    /// Pseudo-random number fixed by the seed, the task and `salt`.
-    fn turn(&self, ask: &Ask, salt: u64) -> u64 {
+    /// Pseudo-random number determined by the seed, the task and `salt`.
+    fn pseudo_random(&self, ask: &Ask, salt: u64) -> u64 {
         use std::hash::{BuildHasher, BuildHasherDefault};
         let build = BuildHasherDefault::<rustc_hash::FxHasher>::default();
-        mix(build.hash_one((self.seed, ask.task, salt)))
+        splitmix64(build.hash_one((self.seed, ask.task, salt)))
     }
 }
 
@@ -184,11 +187,11 @@
     limit: f64,
     best: Option<(WorkerKey, Score)>,
     second: Option<(WorkerKey, Score)>,
-    /// Highest pressure that was met.
+    /// Highest pressure among the scored workers.
     highest: f64,
-    /// Whether a worker with room was refused for its pressure.
-    pressed: bool,
-    turn: u64,
+    /// Whether a worker with room was rejected because of its pressure.
+    pressure_refused: bool,
+    random: u64,
 }
 
 impl<'a> Search<'a> {
@@ -199,87 +202,87 @@
             need,
             scorer: Scorer {
                 estimator: &placer.estimator,
-                roster: &placer.roster,
+                profiles: &placer.profiles,
                 racks: &placer.racks,
                 running: &placer.running,
                 overdue: is_overdue(placer, ask, now),
                 now,
             },
-            profile: placer.roster.id(&ask.name),
+            profile: placer.profiles.id(&ask.name),
             limit: pressure_limit(ask),
             best: None,
             second: None,
             highest: 0.0,
-            pressed: false,
-            turn: placer.turn(ask, now.0),
+            pressure_refused: false,
+            random: placer.pseudo_random(ask, now.0),
         }
     }
 
-    /// Looks at the tightest workers that fit and at some random ones.
+    /// Scores the tightest workers that fit and a random sample.
     fn sample(&mut self) {
         let placer = self.placer;
         let mut found = 0;
         for worker in placer
             .index
-            .upwards(self.need, self.turn)
-            .take(4 * TIGHTEST)
+            .ascending(self.need, self.random)
+            .take(4 * TIGHT_CANDIDATES)
         {
-            found += usize::from(self.look(worker));
-            if found == TIGHTEST {
+            found += usize::from(self.evaluate(worker));
+            if found == TIGHT_CANDIDATES {
                 break;
             }
         }
-        let roomy = placer.index.roomy(self.need);
-        let mut turn = self.turn;
-        for _ in 0..SAMPLED {
-            turn = mix(turn);
-            if let Some(worker) = roomy.get(rotate(turn, roomy.len())) {
-                self.look(worker);
+        let candidates = placer.index.candidates(self.need);
+        let mut random = self.random;
+        for _ in 0..RANDOM_CANDIDATES {
+            random = splitmix64(random);
+            if let Some(worker) = candidates.get(rotation_start(random, candidates.len())) {
+                self.evaluate(worker);
             }
         }
     }
 
-    /// Looks at all workers until a few have been found.
+    /// Scores workers in index order until enough are acceptable or the limit is reached.
     fn scan(&mut self) {
         let placer = self.placer;
-        let (mut roomy, mut found) = (0, 0);
-        for worker in placer.index.upwards(self.need, self.turn) {
-            if self.look(worker) {
-                roomy += 1;
-                found += usize::from(self.best.is_some());
+        let (mut scanned, mut accepted) = (0, 0);
+        for worker in placer.index.ascending(self.need, self.random) {
+            if self.evaluate(worker) {
+                scanned += 1;
+                accepted += usize::from(self.best.is_some());
             }
-            if found == TIGHTEST || roomy == SCANNED {
+            if accepted == TIGHT_CANDIDATES || scanned == MAX_SCANNED {
                 break;
             }
         }
         if let (None, Some(avoid)) = (self.best, self.ask.avoid) {
-            self.look_at_avoided(avoid);
+            self.evaluate_avoided(avoid);
         }
     }
 
-    /// Says whether the worker has room.
-    fn look(&mut self, worker: WorkerKey) -> bool {
+    /// Scores a worker if it has room and is not to be avoided; returns whether it did.
+    fn evaluate(&mut self, worker: WorkerKey) -> bool {
         let host = &self.placer.hosts[worker];
         if !self.need.fits(host.room()) || self.ask.avoid == Some(worker) {
             return false;
         }
-        self.weigh(worker, host);
+        self.score_worker(worker, host);
         true
     }
 
-    fn look_at_avoided(&mut self, worker: WorkerKey) {
+    fn evaluate_avoided(&mut self, worker: WorkerKey) {
         let host = self.placer.hosts.get(worker);
-        let able = host.filter(|host| host.slot.is_some() && self.need.fits(host.room()));
-        if let Some(host) = able {
-            self.weigh(worker, host);
+        let usable = host.filter(|host| host.position.is_some() && self.need.fits(host.room()));
+        if let Some(host) = usable {
+            self.score_worker(worker, host);
         }
     }
 
-    fn weigh(&mut self, worker: WorkerKey, host: &Host) {
+    fn score_worker(&mut self, worker: WorkerKey, host: &Host) {
         let score = self.scorer.score(host, self.ask, self.profile, self.need);
         self.highest = self.highest.max(score.pressure);
-        if score.residual > self.limit {
-            self.pressed = true;
+        if score.throttled_pressure > self.limit {
+            self.pressure_refused = true;
             return;
         }
         let known = |known: Option<(WorkerKey, Score)>| known.is_some_and(|(key, _)| key == worker);
@@ -298,24 +301,30 @@
     }
 }
 
-/// Pressure on a neighbour, as a part of what it tolerates, that the task may cause.
+/// Maximum pressure that the task may cause, as a fraction of the tolerated slowdown.
 ///
-/// Work that goes first is never held back; the others are slowed for it.
+/// Urgent and latency-critical tasks are never held back for pressure; batch tasks
+/// on their worker are throttled instead.
 fn pressure_limit(ask: &Ask) -> f64 {
-    let first = ask.profile.urgent || ask.profile.class == Class::LatencyCritical;
-    if first { f64::INFINITY } else { PRESSURE_LIMIT }
+    let unlimited = ask.profile.urgent || ask.profile.class == Class::LatencyCritical;
+    if unlimited {
+        f64::INFINITY
+    } else {
+        PRESSURE_LIMIT
+    }
 }
 
-/// Whether a task has waited twice its deadline and was not evicted of late.
+/// Whether a task has waited twice its deadline and was not evicted within the last hour.
 ///
-/// It is let in then whatever its own pressure, so that no task waits for ever;
-/// one that was evicted must wait for calm, or it would be evicted over and over.
+/// The pressure of an overdue task itself is ignored, so that no task waits forever.
+/// A recently evicted task must wait for lower pressure, or it would be evicted again
+/// and again.
 fn is_overdue(placer: &Placer, ask: &Ask, now: Monotonic) -> bool {
-    let long = ask.waited_ms >= ask.profile.deadline_ms.saturating_mul(2);
-    long && placer.budgets.spent(ask.task, now) == 0
+    let is_late = ask.waited_ms >= ask.profile.deadline_ms.saturating_mul(2);
+    is_late && placer.budgets.recent(ask.task, now) == 0
 }
 
-/// Names the first resource that is short.
+/// Describes the first resource that is short.
 fn shortfall(need: Resources, room: Resources) -> String {
     if need.millicores > room.millicores {
         let (need, room) = (need.millicores, room.millicores);
@@ -330,7 +339,7 @@
 }
 
 /// Finaliser of splitmix64.
-fn mix(mut x: u64) -> u64 {
+fn splitmix64(mut x: u64) -> u64 {
     x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/verbenahitch/src/placement/host.rs
+++ b/crates/verbenahitch/src/placement/host.rs
@@ -1,28 +1,28 @@
-//! One worker as the placer sees it.
+//! Placement state of one worker.
 
 use crate::domain::{Class, Millis, Monotonic, Resources, TaskKey};
-use crate::interference::{Hold, ProfileId, Victim};
+use crate::interference::{Controller, ProfileId, Victim};
 
-use super::index::Slot;
+use super::index::Position;
 use super::{Resident, WorkerState};
 
-const FIRST_PROBE_MS: Millis = 10_000;
-const LONGEST_PROBE_MS: Millis = 600_000;
-const DEPARTED: usize = 16;
+const MIN_PROBE_INTERVAL_MS: Millis = 10_000;
+const MAX_PROBE_INTERVAL_MS: Millis = 600_000;
+const MAX_DEPARTED: usize = 16;
 
-/// A resident with what is known of its effect on others.
+/// A resident with its share, activity and pending stop.
 #[derive(Clone, Debug)]
-pub(super) struct Held {
+pub(super) struct ResidentEntry {
     pub(super) resident: Resident,
     pub(super) profile: ProfileId,
-    /// Share of its processors.
+    /// CPU share, from 0.0 to 1.0.
     pub(super) share: f64,
-    /// From when on measurements show this share.
-    pub(super) settled: Monotonic,
-    /// Its present activity in units of a usual task of its profile.
-    pub(super) units: f64,
-    /// Until when it counts as about to stop.
-    pub(super) leaving: Monotonic,
+    /// Time from which measurements reflect this share.
+    pub(super) settled_at: Monotonic,
+    /// Current activity relative to a typical task of its profile.
+    pub(super) activity: f64,
+    /// Time until which the resident counts as stopping.
+    pub(super) stopping_until: Monotonic,
 }
 
 /// Committed resources and residents of one worker.
@@ -30,24 +30,23 @@
 pub(super) struct Host {
     pub(super) capacity: Resources,
     pub(super) committed: Resources,
-    /// Room kept for tasks that evictions are under way for.
-    pub(super) claimed: Resources,
-    /// What eviction could free.
+    /// Room reserved for tasks while others are evicted for them.
+    pub(super) reserved: Resources,
+    /// Resources of the residents that may be evicted.
     pub(super) evictable: Resources,
     pub(super) state: WorkerState,
     pub(super) rack: usize,
-    pub(super) slot: Option<Slot>,
-    pub(super) held: Vec<Held>,
-    /// Activity of each batch profile, in units of a usual task.
+    pub(super) position: Option<Position>,
+    pub(super) residents: Vec<ResidentEntry>,
+    /// Activity of each batch profile relative to one typical task.
     pub(super) sources: Vec<(ProfileId, f64)>,
-    /// Latency-critical profiles that answer here.
+    /// Latency-critical profiles served on this worker.
     pub(super) victims: Vec<Victim>,
-    /// State of the measures taken here.
-    pub(super) hold: Hold,
+    pub(super) controller: Controller,
     departed: Vec<(u64, ProfileId)>,
     probe: Option<TaskKey>,
     probe_after: Monotonic,
-    probe_wait: Millis,
+    probe_interval: Millis,
 }
 
 impl Host {
@@ -55,78 +54,83 @@
         Self {
             capacity,
             committed: Resources::ZERO,
-            claimed: Resources::ZERO,
+            reserved: Resources::ZERO,
             evictable: Resources::ZERO,
             state,
             rack,
-            slot: None,
-            held: Vec::new(),
+            position: None,
+            residents: Vec::new(),
             sources: Vec::new(),
             victims: Vec::new(),
-            hold: Hold::default(),
+            controller: Controller::default(),
             departed: Vec::new(),
             probe: None,
             probe_after: Monotonic::default(),
-            probe_wait: FIRST_PROBE_MS,
+            probe_interval: MIN_PROBE_INTERVAL_MS,
         }
     }
 
-    /// What is not committed.
+    /// Resources that are not committed.
     pub(super) fn free(&self) -> Resources {
         self.capacity.saturating_sub(self.committed)
     }
 
-    /// What is neither committed nor claimed.
+    /// Resources that are neither committed nor reserved.
     pub(super) fn room(&self) -> Resources {
-        self.free().saturating_sub(self.claimed)
+        self.free().saturating_sub(self.reserved)
     }
 
-    /// Resident with that task.
+    /// Position of a task among the residents.
     pub(super) fn find(&self, task: TaskKey) -> Option<usize> {
-        self.held.iter().position(|held| held.resident.task == task)
+        self.residents
+            .iter()
+            .position(|entry| entry.resident.task == task)
     }
 
-    /// Profile of a run that is here or left a short while ago.
+    /// Profile of a current or recently departed run.
     pub(super) fn profile_of(&self, run: u64) -> Option<ProfileId> {
-        let here = self.held.iter().find(|held| held.resident.run == run);
-        here.map(|held| held.profile).or_else(|| {
-            let left = self.departed.iter().find(|(left, _)| *left == run);
+        let here = self
+            .residents
+            .iter()
+            .find(|entry| entry.resident.run == run);
+        here.map(|entry| entry.profile).or_else(|| {
+            let left = self.departed.iter().find(|(departed, _)| *departed == run);
             left.map(|(_, profile)| *profile)
         })
     }
 
-    /// Adds a resident.
-    pub(super) fn add(&mut self, held: Held) {
-        self.committed += held.resident.resources;
+    /// Adds a resident; on a quarantined worker it becomes the probe.
+    pub(super) fn add(&mut self, entry: ResidentEntry) {
+        self.committed += entry.resident.resources;
         if self.state == WorkerState::Quarantined {
-            self.probe = Some(held.resident.task);
-            self.probe_after = held.resident.since + self.probe_wait;
-            self.probe_wait = (self.probe_wait * 2).min(LONGEST_PROBE_MS);
+            self.probe = Some(entry.resident.task);
+            self.probe_after = entry.resident.since + self.probe_interval;
+            self.probe_interval = (self.probe_interval * 2).min(MAX_PROBE_INTERVAL_MS);
         }
-        self.held.push(held);
-        self.recount();
+        self.residents.push(entry);
+        self.recompute_sums();
     }
 
     /// Removes the resident at a position.
-    pub(super) fn take(&mut self, at: usize) -> Held {
-        let held = self.held.swap_remove(at);
-        self.committed -= held.resident.resources;
-        if self.probe == Some(held.resident.task) {
+    pub(super) fn remove(&mut self, at: usize) -> ResidentEntry {
+        let entry = self.residents.swap_remove(at);
+        self.committed -= entry.resident.resources;
+        if self.probe == Some(entry.resident.task) {
             self.probe = None;
         }
-        if self.departed.len() == DEPARTED {
+        if self.departed.len() == MAX_DEPARTED {
             self.departed.remove(0);
         }
-        self.departed.push((held.resident.run, held.profile));
-        self.recount();
-        held
+        self.departed.push((entry.resident.run, entry.profile));
+        self.recompute_sums();
+        entry
     }
 
-    /// Changes the state; leaving quarantine forgets its waits.
+    /// Changes the state; leaving quarantine resets the probe interval.
     pub(super) fn set_state(&mut self, state: WorkerState) {
         if state != WorkerState::Quarantined {
             self.probe = None;
-            self.probe_wait = FIRST_PROBE_MS;
+            self.probe_interval = MIN_PROBE_INTERVAL_MS;
             self.probe_after = Monotonic::default();
         }
         self.state = state;
@@ -137,21 +141,21 @@
         self.state == WorkerState::Quarantined && self.probe.is_none() && now >= self.probe_after
     }
 
-    /// Works the sums over the residents out again.
-    pub(super) fn recount(&mut self) {
+    /// Recomputes the sums over the residents.
+    pub(super) fn recompute_sums(&mut self) {
         self.sources.clear();
         self.evictable = Resources::ZERO;
-        for held in &self.held {
-            let profile = &held.resident.profile;
+        for entry in &self.residents {
+            let profile = &entry.resident.profile;
             if profile.class == Class::LatencyCritical {
                 continue;
             }
             if profile.eviction.allowed && !profile.urgent {
-                self.evictable += held.resident.resources;
+                self.evictable += entry.resident.resources;
             }
-            match self.sources.iter_mut().find(|(id, _)| *id == held.profile) {
-                Some((_, units)) => *units += held.units,
-                None => self.sources.push((held.profile, held.units)),
+            match self.sources.iter_mut().find(|(id, _)| *id == entry.profile) {
+                Some((_, activity)) => *activity += entry.activity,
+                None => self.sources.push((entry.profile, entry.activity)),
             }
         }
     }
--- a/crates/verbenahitch/src/placement/index.rs
+++ b/crates/verbenahitch/src/placement/index.rs
@@ -1,8 +1,8 @@
-//! Index of open workers by free processors.
+//! Index of open workers by free CPU.
 //!
-//! Workers lie in buckets of half a core, so that a search starts at the
-//! workers that fit most tightly and a change moves one worker between two
-//! buckets in constant time.
+//! Workers are grouped in buckets of half a core. A search starts at the workers
+//! that fit most tightly, and an update moves a worker between two buckets in
+//! constant time.
 
 use crate::domain::{Resources, WorkerKey};
 
@@ -11,12 +11,12 @@
 
 /// Position of a worker in the index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Slot {
+pub(super) struct Position {
     bucket: usize,
     offset: usize,
 }
 
-/// Open workers by free processors.
+/// Open workers by free CPU.
 #[derive(Debug)]
 pub(super) struct Index {
     buckets: Vec<Vec<WorkerKey>>,
@@ -34,55 +34,60 @@
 
 impl Index {
     /// Adds a worker with `room`.
-    pub(super) fn insert(&mut self, worker: WorkerKey, room: Resources) -> Slot {
+    pub(super) fn insert(&mut self, worker: WorkerKey, room: Resources) -> Position {
         let bucket = bucket_of(room);
         let offset = self.buckets[bucket].len();
         self.buckets[bucket].push(worker);
         self.occupied[bucket / 64] |= 1 << (bucket % 64);
-        Slot { bucket, offset }
+        Position { bucket, offset }
     }
 
-    /// Removes the worker at `slot`; returns the worker that now lies there, if any.
-    pub(super) fn remove(&mut self, slot: Slot) -> Option<WorkerKey> {
-        let bucket = &mut self.buckets[slot.bucket];
-        bucket.swap_remove(slot.offset);
+    /// Removes the worker at `position`; returns the worker that took its place, if any.
+    pub(super) fn remove(&mut self, position: Position) -> Option<WorkerKey> {
+        let bucket = &mut self.buckets[position.bucket];
+        bucket.swap_remove(position.offset);
         if bucket.is_empty() {
-            self.occupied[slot.bucket / 64] &= !(1 << (slot.bucket % 64));
+            self.occupied[position.bucket / 64] &= !(1 << (position.bucket % 64));
         }
-        self.buckets[slot.bucket].get(slot.offset).copied()
+        self.buckets[position.bucket].get(position.offset).copied()
     }
 
-    /// Whether a worker with `room` may stay at `slot`.
-    pub(super) fn is_current(slot: Slot, room: Resources) -> bool {
-        slot.bucket == bucket_of(room)
+    /// Whether `position` is in the right bucket for a worker with `room`.
+    pub(super) fn is_current(position: Position, room: Resources) -> bool {
+        position.bucket == bucket_of(room)
     }
 
-    /// Workers that may have the processors for `need`, the tightest bucket first.
+    /// Workers that may have enough CPU for `need`, the tightest bucket first.
     ///
-    /// `turn` rotates each bucket, so that equals are taken in turn.
-    pub(super) fn upwards(&self, need: Resources, turn: u64) -> impl Iterator<Item = WorkerKey> {
-        self.from(bucket_of(need)).flat_map(move |bucket| {
-            let split = rotate(turn, bucket.len());
+    /// Each bucket starts at an offset given by `random`, so that equal workers are
+    /// chosen equally often.
+    pub(super) fn ascending(
+        &self,
+        need: Resources,
+        random: u64,
+    ) -> impl Iterator<Item = WorkerKey> {
+        self.occupied_from(bucket_of(need)).flat_map(move |bucket| {
+            let split = rotation_start(random, bucket.len());
             bucket[split..].iter().chain(&bucket[..split]).copied()
         })
     }
 
-    /// Buckets that may have the processors for `need`.
-    pub(super) fn roomy(&self, need: Resources) -> Roomy<'_> {
-        let mut roomy = Roomy {
+    /// Workers that may have enough CPU for `need`, for access by position.
+    pub(super) fn candidates(&self, need: Resources) -> Candidates<'_> {
+        let mut candidates = Candidates {
             buckets: [&[]; BUCKETS],
             count: 0,
             workers: 0,
         };
-        for bucket in self.from(bucket_of(need)) {
-            roomy.buckets[roomy.count] = bucket;
-            roomy.count += 1;
-            roomy.workers += bucket.len();
+        for bucket in self.occupied_from(bucket_of(need)) {
+            candidates.buckets[candidates.count] = bucket;
+            candidates.count += 1;
+            candidates.workers += bucket.len();
         }
-        roomy
+        candidates
     }
 
-    fn from(&self, first: usize) -> impl Iterator<Item = &[WorkerKey]> {
+    fn occupied_from(&self, first: usize) -> impl Iterator<Item = &[WorkerKey]> {
         let words = self.occupied.iter().enumerate().skip(first / 64);
         words.flat_map(move |(word, &bits)| {
             let mut bits = if word == first / 64 {
@@ -102,15 +107,15 @@
     }
 }
 
-/// Buckets with enough processors for some need.
-pub(super) struct Roomy<'a> {
+/// Workers in the buckets that may have enough CPU for a task.
+pub(super) struct Candidates<'a> {
     buckets: [&'a [WorkerKey]; BUCKETS],
     count: usize,
     workers: usize,
 }
 
-impl Roomy<'_> {
-    /// Number of workers in them.
+impl Candidates<'_> {
+    /// Number of workers.
     pub(super) fn len(&self) -> usize {
         self.workers
     }
@@ -127,10 +132,10 @@
     }
 }
 
-/// Start of a rotation of `len` items.
-pub(super) fn rotate(turn: u64, len: usize) -> usize {
+/// Offset below `len` at which a rotated iteration starts.
+pub(super) fn rotation_start(random: u64, len: usize) -> usize {
     let len = u64::try_from(len).unwrap_or(u64::MAX);
-    usize::try_from(turn.checked_rem(len).unwrap_or(0)).unwrap_or(0)
+    usize::try_from(random.checked_rem(len).unwrap_or(0)).unwrap_or(0)
 }
 
 fn bucket_of(room: Resources) -> usize {
--- a/crates/verbenahitch/src/placement/mod.rs
+++ b/crates/verbenahitch/src/placement/mod.rs
@@ -1,8 +1,9 @@
 //! Placement: which worker runs a task.
 //!
-//! [`Placer`] keeps the committed resources of every worker of one shard and
-//! chooses among them. It never commits a worker beyond its size, whoever asks.
-//! docs/design/placement.md gives the ways weighed and the figures.
+//! [`Placer`] tracks the committed resources of every worker of one shard and
+//! chooses among the workers. It never commits a worker beyond its capacity,
+//! regardless of the task's priority. docs/design/placement.md compares the
+//! alternatives and gives measurements.
 
 mod budget;
 mod choice;
--- a/crates/verbenahitch/src/placement/observe.rs
+++ b/crates/verbenahitch/src/placement/observe.rs
@@ -1,7 +1,10 @@
-//! What the placer learns from usage, and the measures that follow.
+//! Updates estimates from workers' usage reports and decides on actions against
+//! interference.
 
 use crate::domain::{Class, Monotonic, WorkerKey};
-use crate::interference::{Hold, Measure, Observation, ProfileId, Relief, Strain, Suspect, Victim};
+use crate::interference::{
+    Action, Controller, Observation, ProfileId, Relief, Slowdown, Suspect, Victim,
+};
 use crate::port::{LatencyReport, Usage};
 
 use super::host::Host;
@@ -10,19 +13,20 @@
 use super::victim;
 
 impl Placer {
-    /// Learns from a worker's lagging usage.
+    /// Updates the estimates with a worker's usage report, which lags by its `age_ms`.
     pub fn observe(&mut self, worker: WorkerKey, usage: &Usage, now: Monotonic) {
         if !self.hosts.contains_key(worker) {
             return;
         }
         let measured = now - usage.age_ms;
-        let units = self.learn_usage(worker, usage, measured);
+        let activity = self.learn_usage(worker, usage, measured);
         for report in &usage.latency {
-            self.learn_latency(worker, report, &units, now);
+            self.learn_latency(worker, report, &activity, now);
         }
     }
 
-    /// Activity of each batch profile at the time of the measurement.
+    /// Updates usage statistics; returns the activity of each batch profile at the time
+    /// of the measurement.
     fn learn_usage(
         &mut self,
         worker: WorkerKey,
@@ -31,45 +35,45 @@
     ) -> Vec<(ProfileId, f64)> {
         let host = &mut self.hosts[worker];
         if usage.tasks.is_empty() {
-            return settled(host, measured);
+            return last_activity(host, measured);
         }
-        let mut units = Vec::new();
+        let mut activity = Vec::new();
         for task in &usage.tasks {
             let Some(id) = host.profile_of(task.run) else {
                 continue;
             };
-            if self.roster.profile(id).class != Class::Batch {
+            if self.profiles.profile(id).class != Class::Batch {
                 continue;
             }
             let usages = &mut self.usages[id.index()];
             let relative = usages.relative(*task);
-            add(&mut units, id, relative);
+            add_activity(&mut activity, id, relative);
             let run = host
-                .held
+                .residents
                 .iter_mut()
-                .find(|held| held.resident.run == task.run);
-            if let Some(held) = run {
-                held.units = relative;
-                if held.share >= 1.0 && held.settled <= measured {
-                    usages.learn(*task, held.resident.resources, measured);
+                .find(|entry| entry.resident.run == task.run);
+            if let Some(entry) = run {
+                entry.activity = relative;
+                if entry.share >= 1.0 && entry.settled_at <= measured {
+                    usages.learn(*task, entry.resident.resources, measured);
                 }
             }
         }
-        host.recount();
-        units
+        host.recompute_sums();
+        activity
     }
 
     fn learn_latency(
         &mut self,
         worker: WorkerKey,
         report: &LatencyReport,
-        units: &[(ProfileId, f64)],
+        activity: &[(ProfileId, f64)],
         now: Monotonic,
     ) {
-        let Some(id) = self.roster.id(&report.profile) else {
+        let Some(id) = self.profiles.id(&report.profile) else {
             return;
         };
-        let profile = self.roster.profile(id);
+        let profile = self.profiles.profile(id);
         if profile.class != Class::LatencyCritical || report.count == 0 {
             return;
         }
@@ -79,82 +83,85 @@
             victim: id,
             latency_us,
             count,
-            units,
+            activity,
         });
         if let Some(ratio) = self.estimator.ratio(id, latency_us, count) {
-            let predicted = 1.0 + self.estimator.added(&self.roster, id, units);
-            let victim = placer::victim(&mut self.hosts[worker], id);
+            let predicted = 1.0 + self.estimator.added(&self.profiles, id, activity);
+            let victim = placer::victim_entry(&mut self.hosts[worker], id);
             victim.report(ratio - predicted, now);
         }
     }
 
-    /// What to do now against interference: throttle, restore or evict.
+    /// Actions to take against interference: throttle, restore or evict.
     ///
-    /// The measures count as taken.
+    /// The placer's state assumes that the caller carries them out.
     pub fn relieve(&mut self, now: Monotonic) -> Vec<Relief> {
-        self.estimator.refresh(&self.roster, now);
+        self.estimator.refresh(&self.profiles, now);
         self.budgets.prune(now);
-        self.expire_claims(now);
+        self.expire_reservations(now);
         let workers: Vec<WorkerKey> = self.hosts.keys().collect();
         let mut reliefs = Vec::new();
         for worker in workers {
-            let measures = self.decide(worker, now);
+            let actions = self.decide(worker, now);
             reliefs.extend(
-                measures
+                actions
                     .into_iter()
-                    .map(|measure| self.apply(worker, measure, now)),
+                    .map(|action| self.apply(worker, action, now)),
             );
         }
         reliefs
     }
 
-    fn decide(&mut self, worker: WorkerKey, now: Monotonic) -> Vec<Measure> {
+    fn decide(&mut self, worker: WorkerKey, now: Monotonic) -> Vec<Action> {
         let host = &self.hosts[worker];
         if host.sources.is_empty() {
             return Vec::new();
         }
-        let strains: Vec<Strain> = host
+        let slowdowns: Vec<Slowdown> = host
             .victims
             .iter()
-            .filter(|victim| victim.residents > 0 || victim.is_fresh(now))
-            .map(|victim| self.strain(host, victim, now))
+            .filter(|victim| victim.task_count > 0 || victim.is_fresh(now))
+            .map(|victim| self.slowdown(host, victim, now))
             .collect();
         let suspects = self.suspects(host, now);
-        let mut hold: Hold = host.hold;
-        let measures = hold.decide(&strains, &suspects, now);
-        self.hosts[worker].hold = hold;
-        measures
+        let mut controller: Controller = host.controller;
+        let actions = controller.decide(&slowdowns, &suspects, now);
+        self.hosts[worker].controller = controller;
+        actions
     }
 
-    fn strain(&self, host: &Host, victim: &Victim, now: Monotonic) -> Strain {
+    fn slowdown(&self, host: &Host, victim: &Victim, now: Monotonic) -> Slowdown {
         let sources = &host.sources;
-        let predicted = self.estimator.added(&self.roster, victim.profile, sources);
-        let limit = self.roster.profile(victim.profile).max_slowdown;
-        Strain {
+        let predicted = self
+            .estimator
+            .added(&self.profiles, victim.profile, sources);
+        let limit = self.profiles.profile(victim.profile).max_slowdown;
+        Slowdown {
             added: predicted + victim.unexplained(now),
             tolerated: score::tolerance(limit),
         }
     }
 
     fn suspects(&self, host: &Host, now: Monotonic) -> Vec<Suspect> {
-        let held = host.held.iter().enumerate();
-        held.filter(|(_, held)| held.resident.profile.class == Class::Batch)
-            .filter(|(_, held)| held.leaving <= now)
-            .map(|(at, held)| {
-                let resident = &held.resident;
-                let strongest = host
+        let entries = host.residents.iter().enumerate();
+        entries
+            .filter(|(_, entry)| entry.resident.profile.class == Class::Batch)
+            .filter(|(_, entry)| entry.stopping_until <= now)
+            .map(|(at, entry)| {
+                let resident = &entry.resident;
+                let max_slope = host
                     .victims
                     .iter()
                     .filter(|victim| victim.is_fresh(now))
                     .map(|victim| {
                         self.estimator
-                            .slope(&self.roster, victim.profile, held.profile)
+                            .slope(&self.profiles, victim.profile, entry.profile)
                     })
                     .fold(0.0, f64::max);
                 Suspect {
                     at,
-                    blame: strongest * held.units,
-                    share: held.share,
+                    contribution: max_slope * entry.activity,
+                    share: entry.share,
                     min_share: resident.profile.min_share,
                     cost: victim::cost(resident, now),
                     evictable: self.budgets.allows(resident.task, &resident.profile, now),
@@ -163,57 +170,60 @@
             .collect()
     }
 
-    fn apply(&mut self, worker: WorkerKey, measure: Measure, now: Monotonic) -> Relief {
+    fn apply(&mut self, worker: WorkerKey, action: Action, now: Monotonic) -> Relief {
         let host = &mut self.hosts[worker];
-        match measure {
-            Measure::Share { at, share } => {
-                let held = &mut host.held[at];
-                held.units *= share / held.share;
-                held.share = share;
-                held.settled = now + placer::SETTLE_MS;
-                let task = held.resident.task;
-                host.recount();
+        match action {
+            Action::SetShare { at, share } => {
+                let entry = &mut host.residents[at];
+                entry.activity *= share / entry.share;
+                entry.share = share;
+                entry.settled_at = now + placer::USAGE_SETTLE_MS;
+                let task = entry.resident.task;
+                host.recompute_sums();
                 Relief::Throttle {
                     worker,
                     task,
                     share,
                 }
             }
-            Measure::Evict { at } => {
-                let held = &mut host.held[at];
-                let task = held.resident.task;
-                held.leaving =
-                    now + held.resident.profile.eviction.grace_ms + placer::CLAIM_MARGIN_MS;
-                self.budgets.spend(task, now);
+            Action::Evict { at } => {
+                let entry = &mut host.residents[at];
+                let task = entry.resident.task;
+                entry.stopping_until =
+                    now + entry.resident.profile.eviction.grace_ms + placer::RESERVATION_MARGIN_MS;
+                self.budgets.record(task, now);
                 Relief::Evict { worker, task }
             }
         }
     }
 
-    fn expire_claims(&mut self, now: Monotonic) {
-        let lapsed = self.claims.iter().filter(|(_, claim)| claim.until <= now);
-        let lapsed: Vec<_> = lapsed.map(|(task, _)| *task).collect();
-        for task in lapsed {
-            self.unclaim(task);
+    fn expire_reservations(&mut self, now: Monotonic) {
+        let expired = self
+            .reservations
+            .iter()
+            .filter(|(_, reservation)| reservation.until <= now);
+        let expired: Vec<_> = expired.map(|(task, _)| *task).collect();
+        for task in expired {
+            self.cancel_reservation(task);
         }
     }
 }
 
-/// Activity of the tasks that ran at `measured`, when the worker reports none.
-fn settled(host: &Host, measured: Monotonic) -> Vec<(ProfileId, f64)> {
-    let mut units = Vec::new();
-    for held in &host.held {
-        let batch = held.resident.profile.class == Class::Batch;
-        if batch && held.resident.since <= measured {
-            add(&mut units, held.profile, held.units);
+/// Last known activity of the tasks that ran at `measured`, for a report without task usage.
+fn last_activity(host: &Host, measured: Monotonic) -> Vec<(ProfileId, f64)> {
+    let mut activity = Vec::new();
+    for entry in &host.residents {
+        let batch = entry.resident.profile.class == Class::Batch;
+        if batch && entry.resident.since <= measured {
+            add_activity(&mut activity, entry.profile, entry.activity);
         }
     }
-    units
+    activity
 }
 
-fn add(units: &mut Vec<(ProfileId, f64)>, id: ProfileId, amount: f64) {
-    match units.iter_mut().find(|(known, _)| *known == id) {
+fn add_activity(activity: &mut Vec<(ProfileId, f64)>, id: ProfileId, amount: f64) {
+    match activity.iter_mut().find(|(profile, _)| *profile == id) {
         Some((_, sum)) => *sum += amount,
-        None => units.push((id, amount)),
+        None => activity.push((id, amount)),
     }
 }
--- a/crates/verbenahitch/src/placement/placer.rs
+++ b/crates/verbenahitch/src/placement/placer.rs
@@ -1,4 +1,4 @@
-//! Committed resources of a shard's workers, and the choice among them.
+//! State of placement in one shard: committed resources, residents, reservations and quotas.
 
 use std::sync::Arc;
 
@@ -7,55 +7,57 @@
 use crate::collections::HashMap;
 use crate::config::Declarations;
 use crate::domain::{Class, Millis, Monotonic, Profile, Resources, TaskKey, WorkerKey};
-use crate::interference::{Attribution, Estimator, ProfileId, Roster, Victim};
+use crate::interference::{Attribution, Estimator, ProfileId, ProfileTable, Victim};
 
 use super::budget::Budgets;
-use super::host::{Held, Host};
+use super::host::{Host, ResidentEntry};
 use super::index::Index;
 use super::quota::Quotas;
 use super::score::Racks;
-use super::size::Usages;
+use super::size::UsageStats;
 use super::{Ask, Overcommit, Resident, WorkerState};
 
-pub(super) const CLAIM_MARGIN_MS: Millis = 10_000;
+/// Time beyond the grace period of an eviction until its reservation expires and its
+/// tasks no longer count as stopping.
+pub(super) const RESERVATION_MARGIN_MS: Millis = 10_000;
 
-/// Time until a changed share of processors shows in a run's usage.
-pub(super) const SETTLE_MS: Millis = 2_000;
+/// Time until a changed CPU share shows in a run's reported usage.
+pub(super) const USAGE_SETTLE_MS: Millis = 2_000;
 
-/// Room that is being made for a task.
+/// Room kept for a task while others are evicted for it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Claim {
+pub(super) struct Reservation {
     pub(super) worker: WorkerKey,
     pub(super) need: Resources,
     pub(super) until: Monotonic,
 }
 
-/// Committed resources of a shard's workers, and the choice among them.
+/// Committed resources of a shard's workers, and the choice of a worker for a task.
 ///
-/// What is committed of a worker is the sum of its residents' `resources`, as
-/// the caller gave them to [`Self::occupy`]; the worker holds each run to that.
-/// Neither observation nor throttling changes a commitment.
+/// The committed resources of a worker are the sum of its residents' `resources`
+/// as passed to [`Self::occupy`]; the worker limits each run to its commitment.
+/// Neither observed usage nor throttling changes a commitment.
 #[derive(Debug, Default)]
 pub struct Placer {
     pub(super) hosts: SlotMap<WorkerKey, Host>,
     pub(super) index: Index,
     pub(super) quarantined: Vec<WorkerKey>,
     pub(super) sizes: HashMap<Resources, u32>,
-    pub(super) claims: HashMap<TaskKey, Claim>,
+    pub(super) reservations: HashMap<TaskKey, Reservation>,
     pub(super) quotas: Quotas,
     pub(super) budgets: Budgets,
     pub(super) racks: Racks,
-    pub(super) usages: Vec<Usages>,
-    /// Tasks of each profile that run.
+    pub(super) usages: Vec<UsageStats>,
+    /// Number of running tasks by profile index.
     pub(super) running: Vec<u32>,
-    pub(super) roster: Roster,
+    pub(super) profiles: ProfileTable,
     pub(super) estimator: Estimator,
     pub(super) declared: Arc<Declarations>,
     pub(super) seed: u64,
 }
 
 impl Placer {
-    /// Creates a placer without workers; `seed` fixes its choice among equals.
+    /// Creates a placer without workers; `seed` determines the choice among equal workers.
     pub fn new(seed: u64) -> Self {
         Self {
             seed,
@@ -63,10 +65,10 @@
         }
     }
 
-    /// Takes over newer declarations; `share` is this shard's part of the teams' quotas, 0.0 to 1.0.
+    /// Applies new declarations; `share` is this shard's fraction of the teams' quotas, 0.0 to 1.0.
     pub fn declare(&mut self, declared: Arc<Declarations>, share: f64) {
         for (name, profile) in &declared.profiles {
-            self.roster.refresh(name, profile);
+            self.profiles.refresh(name, profile);
         }
         self.quotas.declare(Arc::clone(&declared), share);
         self.declared = declared;
@@ -77,56 +79,61 @@
         let rack = self.racks.number(rack);
         let worker = self.hosts.insert(Host::new(capacity, rack, state));
         *self.sizes.entry(capacity).or_default() += 1;
-        self.relist(worker);
+        self.reindex(worker);
         worker
     }
 
-    /// Changes whether a worker takes tasks.
+    /// Changes whether a worker accepts tasks.
     pub fn set_state(&mut self, worker: WorkerKey, state: WorkerState) {
         if let Some(host) = self.hosts.get_mut(worker) {
             host.set_state(state);
-            self.relist(worker);
+            self.reindex(worker);
         }
     }
 
-    /// Changes the size of a worker; tasks that no longer fit stay until they end.
+    /// Changes the capacity of a worker; tasks that no longer fit stay until they end.
     pub fn resize(&mut self, worker: WorkerKey, capacity: Resources) {
         if let Some(host) = self.hosts.get_mut(worker) {
             let before = std::mem::replace(&mut host.capacity, capacity);
             *self.sizes.entry(capacity).or_default() += 1;
-            self.forget_size(before);
-            self.relist(worker);
+            self.remove_size(before);
+            self.reindex(worker);
         }
     }
 
-    /// Removes a worker with all it holds.
+    /// Removes a worker with its tasks and reservations.
     pub fn remove_worker(&mut self, worker: WorkerKey) {
         let Some(host) = self.hosts.get(worker) else {
             return;
         };
-        let tasks: Vec<TaskKey> = host.held.iter().map(|held| held.resident.task).collect();
+        let tasks: Vec<TaskKey> = host
+            .residents
+            .iter()
+            .map(|entry| entry.resident.task)
+            .collect();
         for task in tasks {
             self.vacate(worker, task);
         }
-        self.claims.retain(|_, claim| claim.worker != worker);
+        self.reservations
+            .retain(|_, reservation| reservation.worker != worker);
         self.set_state(worker, WorkerState::Closed);
         if let Some(host) = self.hosts.remove(worker) {
-            self.forget_size(host.capacity);
+            self.remove_size(host.capacity);
         }
     }
 
-    /// Tasks of a worker.
+    /// Tasks placed on a worker.
     pub fn residents(&self, worker: WorkerKey) -> impl Iterator<Item = &Resident> {
         let host = self.hosts.get(worker).into_iter();
-        host.flat_map(|host| host.held.iter().map(|held| &held.resident))
+        host.flat_map(|host| host.residents.iter().map(|entry| &entry.resident))
     }
 
-    /// What a worker has left.
+    /// Uncommitted resources of a worker.
     pub fn free(&self, worker: WorkerKey) -> Resources {
         self.hosts.get(worker).map_or(Resources::ZERO, Host::free)
     }
 
-    /// Size of a worker.
+    /// Capacity of a worker.
     pub fn capacity(&self, worker: WorkerKey) -> Resources {
         self.hosts
             .get(worker)
@@ -135,57 +142,59 @@
 
     /// Commits resources of a worker to a task.
     ///
-    /// A task that is on the worker already is replaced.
+    /// If the task is already on the worker, its commitment is replaced.
     ///
     /// # Errors
     ///
-    /// When the worker lacks the room or does not exist; nothing changes then.
+    /// If the worker has too little room or does not exist; nothing changes then.
     pub fn occupy(&mut self, worker: WorkerKey, resident: Resident) -> Result<(), Overcommit> {
         let needed = resident.resources;
         let short = |free| Overcommit { needed, free };
         let host = self.hosts.get(worker).ok_or(short(Resources::ZERO))?;
         let replaced = host.find(resident.task);
-        let back = replaced.map_or(Resources::ZERO, |at| host.held[at].resident.resources);
+        let replaced_size =
+            replaced.map_or(Resources::ZERO, |at| host.residents[at].resident.resources);
         let free = host
             .capacity
-            .saturating_sub(host.committed.saturating_sub(back));
+            .saturating_sub(host.committed.saturating_sub(replaced_size));
         if !needed.fits(free) {
             return Err(short(free));
         }
         if replaced.is_some() {
             self.vacate(worker, resident.task);
         }
-        self.unclaim(resident.task);
-        self.admit(worker, resident);
+        self.cancel_reservation(resident.task);
+        self.add_resident(worker, resident);
         Ok(())
     }
 
-    fn admit(&mut self, worker: WorkerKey, resident: Resident) {
-        let id = self.roster.add(&resident.name, &resident.profile);
+    fn add_resident(&mut self, worker: WorkerKey, resident: Resident) {
+        let id = self.profiles.add(&resident.name, &resident.profile);
         if self.usages.len() <= id.index() {
-            self.usages.resize(id.index() + 1, Usages::default());
+            self.usages.resize(id.index() + 1, UsageStats::default());
             self.running.resize(id.index() + 1, 0);
         }
         self.running[id.index()] += 1;
-        let settled = resident.since + SETTLE_MS;
-        self.quotas.take(&resident.profile.team, resident.resources);
+        let settled_at = resident.since + USAGE_SETTLE_MS;
+        self.quotas
+            .commit(&resident.profile.team, resident.resources);
         let host = &mut self.hosts[worker];
         self.racks.add(resident.task.job, host.rack);
         if resident.profile.class == Class::LatencyCritical {
-            victim(host, id).residents += 1;
+            victim_entry(host, id).task_count += 1;
         }
-        host.add(Held {
+        host.add(ResidentEntry {
             resident,
             profile: id,
             share: 1.0,
-            settled,
-            units: 1.0,
-            leaving: Monotonic::default(),
+            settled_at,
+            activity: 1.0,
+            stopping_until: Monotonic::default(),
         });
-        self.relist(worker);
+        self.reindex(worker);
     }
 
-    /// Releases what a task holds on a worker; says whether it held anything.
+    /// Releases a task's resources on a worker; returns whether the task was there.
     pub fn vacate(&mut self, worker: WorkerKey, task: TaskKey) -> bool {
         let Some(host) = self.hosts.get_mut(worker) else {
             return false;
@@ -193,89 +202,90 @@
         let Some(at) = host.find(task) else {
             return false;
         };
-        let held = host.take(at);
-        let profile = &held.resident.profile;
+        let entry = host.remove(at);
+        let profile = &entry.resident.profile;
         if profile.class == Class::LatencyCritical {
-            let victim = victim(host, held.profile);
-            victim.residents = victim.residents.saturating_sub(1);
+            let victim = victim_entry(host, entry.profile);
+            victim.task_count = victim.task_count.saturating_sub(1);
         }
-        self.running[held.profile.index()] -= 1;
+        self.running[entry.profile.index()] -= 1;
         self.racks.remove(task.job, host.rack);
-        self.quotas.give(&profile.team, held.resident.resources);
-        self.relist(worker);
+        self.quotas.release(&profile.team, entry.resident.resources);
+        self.reindex(worker);
         true
     }
 
-    /// Takes over the share of processors that a worker reports for a task.
+    /// Sets the CPU share that a worker reports for a task.
     pub fn set_share(&mut self, worker: WorkerKey, task: TaskKey, share: f64) {
         let Some(host) = self.hosts.get_mut(worker) else {
             return;
         };
         if let Some(at) = host.find(task) {
-            host.held[at].share = share.clamp(0.01, 1.0);
+            host.residents[at].share = share.clamp(0.01, 1.0);
         }
     }
 
-    /// Notes that `victims` are being evicted from a worker to make room for `ask`.
+    /// Records that `victims` are being evicted from a worker to make room for `ask`.
     ///
-    /// The room is kept for `ask`, and the evictions count against the budgets.
+    /// The room is reserved for `ask`, and the evictions count against the budgets.
     pub fn evict(&mut self, ask: &Ask, worker: WorkerKey, victims: &[TaskKey], now: Monotonic) {
         let Some(host) = self.hosts.get_mut(worker) else {
             return;
         };
-        let mut grace = 0;
-        for held in &mut host.held {
-            if victims.contains(&held.resident.task) {
-                let own = held.resident.profile.eviction.grace_ms;
-                held.leaving = now + own + CLAIM_MARGIN_MS;
-                self.budgets.spend(held.resident.task, now);
-                grace = grace.max(own);
+        let mut longest_grace = 0;
+        for entry in &mut host.residents {
+            if victims.contains(&entry.resident.task) {
+                let own_grace = entry.resident.profile.eviction.grace_ms;
+                entry.stopping_until = now + own_grace + RESERVATION_MARGIN_MS;
+                self.budgets.record(entry.resident.task, now);
+                longest_grace = longest_grace.max(own_grace);
             }
         }
-        self.unclaim(ask.task);
-        let claim = Claim {
+        self.cancel_reservation(ask.task);
+        let reservation = Reservation {
             worker,
             need: ask.profile.resources,
-            until: now + grace + CLAIM_MARGIN_MS,
+            until: now + longest_grace + RESERVATION_MARGIN_MS,
         };
-        self.claims.insert(ask.task, claim);
-        self.hosts[worker].claimed += claim.need;
-        self.relist(worker);
+        self.reservations.insert(ask.task, reservation);
+        self.hosts[worker].reserved += reservation.need;
+        self.reindex(worker);
     }
 
-    /// Whose work pressed on whose so far, the strongest first.
+    /// Estimated slowdown of each measured pair of profiles, the largest first.
     pub fn pressures(&self) -> Vec<Attribution> {
-        self.estimator.attributions(&self.roster)
+        self.estimator.attributions(&self.profiles)
     }
 
-    /// What a task of the profile should commit, by the usage of its like.
+    /// Resources that a task should commit, predicted from the usage of its profile.
     ///
-    /// It is the declared size until enough usage was seen, and declared
-    /// accelerators always. Commit it only where the worker holds a run to it.
+    /// Returns the declared resources until enough usage was observed; accelerators
+    /// are always as declared. Commit the result only where the worker enforces it
+    /// as a limit on the run.
     pub fn size(&self, name: &str, profile: &Profile) -> Resources {
         let usages = self
-            .roster
+            .profiles
             .id(name)
             .and_then(|id| self.usages.get(id.index()));
         usages.map_or(profile.resources, |usages| usages.predict(profile))
     }
 
-    /// Largest share of its quota that a team has committed in this shard.
+    /// Largest fraction of any resource of its quota that a team has committed in this shard.
     pub(super) fn dominant_share(&self, team: &str) -> f64 {
-        self.quotas.dominant(team)
+        self.quotas.dominant_share(team)
     }
 
-    pub(super) fn unclaim(&mut self, task: TaskKey) {
-        let Some(claim) = self.claims.remove(&task) else {
+    pub(super) fn cancel_reservation(&mut self, task: TaskKey) {
+        let Some(reservation) = self.reservations.remove(&task) else {
             return;
         };
-        if let Some(host) = self.hosts.get_mut(claim.worker) {
-            host.claimed -= claim.need;
-            self.relist(claim.worker);
+        if let Some(host) = self.hosts.get_mut(reservation.worker) {
+            host.reserved -= reservation.need;
+            self.reindex(reservation.worker);
         }
     }
 
-    fn forget_size(&mut self, size: Resources) {
+    fn remove_size(&mut self, size: Resources) {
         if let Some(count) = self.sizes.get_mut(&size) {
             *count -= 1;
             if *count == 0 {
@@ -284,30 +294,30 @@
         }
     }
 
-    /// Brings a worker's place in the index up to date.
-    fn relist(&mut self, worker: WorkerKey) {
+    /// Updates a worker's position in the index and in the list of quarantined workers.
+    fn reindex(&mut self, worker: WorkerKey) {
         let host = &self.hosts[worker];
         let room = host.room();
         let open = host.state == WorkerState::Open;
-        match host.slot {
-            Some(slot) if open && Index::is_current(slot, room) => {}
-            Some(slot) => {
-                let moved = self.index.remove(slot);
+        match host.position {
+            Some(position) if open && Index::is_current(position, room) => {}
+            Some(position) => {
+                let moved = self.index.remove(position);
                 if let Some(moved) = moved {
-                    self.hosts[moved].slot = Some(slot);
+                    self.hosts[moved].position = Some(position);
                 }
-                self.hosts[worker].slot = open.then(|| self.index.insert(worker, room));
+                self.hosts[worker].position = open.then(|| self.index.insert(worker, room));
             }
-            None if open => self.hosts[worker].slot = Some(self.index.insert(worker, room)),
+            None if open => self.hosts[worker].position = Some(self.index.insert(worker, room)),
             None => {}
         }
-        self.relist_quarantine(worker);
+        self.update_quarantined(worker);
     }
 
-    fn relist_quarantine(&mut self, worker: WorkerKey) {
-        let wanted = self.hosts[worker].state == WorkerState::Quarantined;
+    fn update_quarantined(&mut self, worker: WorkerKey) {
+        let quarantined = self.hosts[worker].state == WorkerState::Quarantined;
         let at = self.quarantined.iter().position(|key| *key == worker);
-        match (wanted, at) {
+        match (quarantined, at) {
             (true, None) => self.quarantined.push(worker),
             (false, Some(at)) => {
                 self.quarantined.remove(at);
@@ -317,8 +327,8 @@
     }
 }
 
-/// The worker's entry of a latency-critical profile, added if it is new.
-pub(super) fn victim(host: &mut Host, profile: ProfileId) -> &mut Victim {
+/// Entry of a latency-critical profile on a worker, added if it is missing.
+pub(super) fn victim_entry(host: &mut Host, profile: ProfileId) -> &mut Victim {
     let at = host
         .victims
         .iter()
--- a/crates/verbenahitch/src/placement/rank.rs
+++ b/crates/verbenahitch/src/placement/rank.rs
@@ -1,9 +1,9 @@
 //! Order in which waiting tasks are offered to the placer.
 //!
-//! Urgent work goes first. Among the rest, each eighth of its deadline that a
-//! task has waited counts as a doubling of its worth, and each use of its
-//! team's quota as a halving. So a task of any worth is reached in the end,
-//! however much of higher worth keeps arriving.
+//! Urgent tasks go first. The others are ordered by worth: each eighth of its
+//! deadline that a task has waited doubles it, and each half of its quota that the
+//! team has committed halves it. So no task starves, however many tasks of higher
+//! worth keep arriving.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -13,44 +13,46 @@
 
 use super::{Ask, Placer};
 
-const AGEING_PARTS: f64 = 8.0;
+/// Doublings of a task's worth for each deadline that it has waited.
+const WAIT_DOUBLINGS: f64 = 8.0;
+/// Halvings of a task's worth if its team has committed its whole quota.
 const QUOTA_HALVINGS: f64 = 2.0;
 
 impl Placer {
-    /// Rank of a waiting task; the highest goes first.
+    /// Rank of a waiting task, as a binary logarithm; the highest goes first.
     pub fn rank(&self, profile: &Profile, waited_ms: Millis) -> f64 {
         let urgent = if profile.urgent { 1_000.0 } else { 0.0 };
         let worth = f64::from(profile.worth.max(1)).log2();
         let waited = waited_ms as f64 / profile.deadline_ms.max(1) as f64;
         let used = self.dominant_share(&profile.team);
-        urgent + worth + AGEING_PARTS * waited - QUOTA_HALVINGS * used
+        urgent + worth + WAIT_DOUBLINGS * waited - QUOTA_HALVINGS * used
     }
 }
 
-/// What became of an offered task.
+/// Result of offering a task for placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Offer {
-    /// It was placed; the next task of its profile is offered.
+    /// The task was placed; the next task of its profile is offered.
     Taken,
-    /// Room is being made for it; it waits, and the next task of its profile is offered.
+    /// Room is reserved for the task; it waits, and the next task of its profile is offered.
     Promised,
-    /// It found no room; its profile waits for the next call.
+    /// The task was not placed; no further task of its profile is offered in this call.
     Declined,
 }
 
-/// Waiting tasks, in the order of [`Placer::rank`].
+/// Waiting tasks, ordered by [`Placer::rank`].
 ///
-/// Tasks of one profile wait in the order of their arrival, so only the first
-/// of each profile is ranked.
+/// Tasks of one profile are served in the order of arrival, so only the first
+/// task of each profile is ranked.
 #[derive(Debug, Default)]
 pub struct Queue {
-    lines: Vec<Line>,
+    queues: Vec<ProfileQueue>,
     by_name: HashMap<Arc<str>, usize>,
     waiting: HashMap<TaskKey, Monotonic>,
 }
 
 #[derive(Debug, Default)]
-struct Line {
+struct ProfileQueue {
     asks: VecDeque<(Monotonic, Ask)>,
 }
 
@@ -65,45 +67,45 @@
         self.waiting.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no task waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Adds a task that waits since `since`; a task that waits already stays where it is.
+    /// Adds a task that has waited since `since`; no effect if it is already waiting.
     pub fn push(&mut self, ask: Ask, since: Monotonic) {
         if self.waiting.contains_key(&ask.task) {
             return;
         }
         self.waiting.insert(ask.task, since);
-        let lines = &mut self.lines;
+        let queues = &mut self.queues;
         let at = *self.by_name.entry(ask.name.clone()).or_insert_with(|| {
-            lines.push(Line::default());
-            lines.len() - 1
+            queues.push(ProfileQueue::default());
+            queues.len() - 1
         });
-        let line = &mut self.lines[at].asks;
-        let place = line.partition_point(|(earlier, _)| *earlier <= since);
-        line.insert(place, (since, ask));
+        let asks = &mut self.queues[at].asks;
+        let position = asks.partition_point(|(earlier, _)| *earlier <= since);
+        asks.insert(position, (since, ask));
     }
 
-    /// Withdraws a task in constant time; says whether it waited.
+    /// Withdraws a task in constant time; returns whether it was waiting.
     pub fn withdraw(&mut self, task: TaskKey) -> bool {
         self.waiting.remove(&task).is_some()
     }
 
-    /// Offers waiting tasks in the order of their ranks.
+    /// Offers waiting tasks in order of rank and removes those that are taken.
     pub fn drain(
         &mut self,
         placer: &mut Placer,
         now: Monotonic,
         mut offer: impl FnMut(&mut Placer, Ask) -> Offer,
     ) {
-        let mut cursors = vec![Some(0); self.lines.len()];
-        while let Some((at, cursor, ask)) = self.first(&mut cursors, placer, now) {
+        let mut cursors = vec![Some(0); self.queues.len()];
+        while let Some((at, cursor, ask)) = self.highest(&mut cursors, placer, now) {
             let task = ask.task;
             match offer(placer, ask) {
                 Offer::Taken => {
-                    self.lines[at].asks.remove(cursor);
+                    self.queues[at].asks.remove(cursor);
                     self.waiting.remove(&task);
                 }
                 Offer::Promised => cursors[at] = Some(cursor + 1),
@@ -112,38 +114,38 @@
         }
     }
 
-    /// Task of the highest rank at the cursors of the lines.
-    fn first(
+    /// Task of the highest rank among those at the cursors, with its queue and position.
+    fn highest(
         &mut self,
         cursors: &mut [Option<usize>],
         placer: &Placer,
         now: Monotonic,
     ) -> Option<(usize, usize, Ask)> {
         let mut best: Option<(f64, usize, usize)> = None;
-        for (at, place) in cursors.iter_mut().enumerate() {
-            let Some(cursor) = *place else {
+        for (at, position) in cursors.iter_mut().enumerate() {
+            let Some(cursor) = *position else {
                 continue;
             };
-            let Some((since, ask)) = self.lines[at].settle(cursor, &self.waiting) else {
-                *place = None;
+            let Some((since, ask)) = self.queues[at].skip_withdrawn(cursor, &self.waiting) else {
+                *position = None;
                 continue;
             };
             let rank = placer.rank(&ask.profile, now.since(*since));
-            if best.is_none_or(|(highest, _, _)| rank > highest) {
+            if best.is_none_or(|(top, _, _)| rank > top) {
                 best = Some((rank, at, cursor));
             }
         }
         let (_, at, cursor) = best?;
-        let (since, ask) = &self.lines[at].asks[cursor];
+        let (since, ask) = &self.queues[at].asks[cursor];
         let mut ask = ask.clone();
         ask.waited_ms = now.since(*since);
         Some((at, cursor, ask))
     }
 }
 
-impl Line {
-    /// Drops withdrawn tasks at `cursor`; returns the task that is there then.
-    fn settle(
+impl ProfileQueue {
+    /// Removes withdrawn tasks at `cursor`; returns the next waiting task, if any.
+    fn skip_withdrawn(
         &mut self,
         cursor: usize,
         waiting: &HashMap<TaskKey, Monotonic>,
--- a/crates/verbenahitch/src/placement/victim.rs
+++ b/crates/verbenahitch/src/placement/victim.rs
@@ -1,78 +1,82 @@
-//! Chooses tasks of one worker to evict for work that goes first.
+//! Chooses tasks of one worker to evict for a task of higher priority.
 
 use crate::domain::{Class, Monotonic, Profile, Resources, TaskKey};
 
 use super::Resident;
 use super::budget::Budgets;
-use super::host::{Held, Host};
+use super::host::{Host, ResidentEntry};
 
-/// Tasks to evict and the worth that is lost with them.
+/// Tasks to evict and the worth that is lost by evicting them.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct Sacrifice {
+pub(super) struct EvictionPlan {
     pub(super) cost: f64,
     pub(super) tasks: Vec<TaskKey>,
 }
 
-/// Worth that is lost when a resident is evicted now: its own, and more the longer it has run.
+/// Worth lost if a resident is evicted now: from one to two times that of its profile,
+/// growing with the time it has run.
 pub(super) fn cost(resident: &Resident, now: Monotonic) -> f64 {
     let ran = now.since(resident.since) as f64;
-    let usual = resident.profile.target_ms.max(1) as f64;
-    f64::from(resident.profile.worth) * (1.0 + (ran / usual).min(1.0))
+    let expected = resident.profile.target_ms.max(1) as f64;
+    f64::from(resident.profile.worth) * (1.0 + (ran / expected).min(1.0))
 }
 
-/// Whether work of the `victim` profile may make way for `ask`.
-pub(super) fn yields(victim: &Profile, ask: &Profile) -> bool {
-    let lesser = match ask.class {
-        Class::LatencyCritical => ask.urgent || victim.worth < ask.worth,
+/// Whether a task of the `running` profile may be evicted for `ask`.
+pub(super) fn yields(running: &Profile, ask: &Profile) -> bool {
+    let lower = match ask.class {
+        Class::LatencyCritical => ask.urgent || running.worth < ask.worth,
         Class::Batch => ask.urgent,
     };
-    lesser && victim.class == Class::Batch && !victim.urgent && victim.eviction.allowed
+    lower && running.class == Class::Batch && !running.urgent && running.eviction.allowed
 }
 
-/// The least worth whose eviction makes room for `need` on `host`.
+/// Eviction that makes room for `need` on `host` and loses little worth, chosen greedily.
 ///
-/// Tasks that are stopping already count as room, and claims on it as needs.
-pub(super) fn least(
+/// Tasks that are already stopping count as free room, and reservations as needed.
+pub(super) fn cheapest(
     host: &Host,
     ask: &Profile,
     need: Resources,
     budgets: &Budgets,
     now: Monotonic,
-) -> Option<Sacrifice> {
-    // A worker that shrank may be committed beyond its size, so the sums run
-    // over what is committed, not over what is free.
+) -> Option<EvictionPlan> {
+    // A worker that shrank may have more committed than its capacity, so the sums
+    // compare totals rather than free resources, which can't be negative.
     let need = need + host.committed;
     if !need.fits(host.capacity + host.evictable) {
         return None;
     }
-    let need = need + host.claimed;
+    let need = need + host.reserved;
     let mut room = host.capacity + stopping(host, now);
     let mut chosen = Vec::new();
-    for (cost, held) in candidates(host, ask, budgets, now) {
+    for (cost, entry) in candidates(host, ask, budgets, now) {
         if need.fits(room) {
             break;
         }
-        if helps(held.resident.resources, need, room) {
-            room += held.resident.resources;
-            chosen.push((cost, held));
+        if reduces_shortage(entry.resident.resources, need, room) {
+            room += entry.resident.resources;
+            chosen.push((cost, entry));
         }
     }
     if !need.fits(room) {
         return None;
     }
-    spare(&mut chosen, need, room);
-    Some(Sacrifice {
+    drop_unneeded(&mut chosen, need, room);
+    Some(EvictionPlan {
         cost: chosen.iter().map(|(cost, _)| cost).sum(),
-        tasks: chosen.iter().map(|(_, held)| held.resident.task).collect(),
+        tasks: chosen
+            .iter()
+            .map(|(_, entry)| entry.resident.task)
+            .collect(),
     })
 }
 
-/// What the tasks hold that were told to stop.
+/// Resources of the tasks that are stopping.
 fn stopping(host: &Host, now: Monotonic) -> Resources {
-    host.held
+    host.residents
         .iter()
-        .filter(|held| held.leaving > now)
-        .fold(Resources::ZERO, |sum, held| sum + held.resident.resources)
+        .filter(|entry| entry.stopping_until > now)
+        .fold(Resources::ZERO, |sum, entry| sum + entry.resident.resources)
 }
 
 fn candidates<'a>(
@@ -80,13 +84,13 @@
     ask: &Profile,
     budgets: &Budgets,
     now: Monotonic,
-) -> Vec<(f64, &'a Held)> {
-    let mut all: Vec<(f64, &Held)> = host
-        .held
+) -> Vec<(f64, &'a ResidentEntry)> {
+    let mut all: Vec<(f64, &ResidentEntry)> = host
+        .residents
         .iter()
-        .filter(|held| held.leaving <= now && yields(&held.resident.profile, ask))
-        .filter(|held| budgets.allows(held.resident.task, &held.resident.profile, now))
-        .map(|held| (cost(&held.resident, now), held))
+        .filter(|entry| entry.stopping_until <= now && yields(&entry.resident.profile, ask))
+        .filter(|entry| budgets.allows(entry.resident.task, &entry.resident.profile, now))
+        .map(|entry| (cost(&entry.resident, now), entry))
         .collect();
     all.sort_by(|(a, x), (b, y)| {
         let order = a.total_cmp(b);
@@ -95,15 +99,15 @@
     all
 }
 
-/// Whether releasing `amount` brings `need` nearer in a resource that is short.
-fn helps(amount: Resources, need: Resources, room: Resources) -> bool {
+/// Whether releasing `amount` reduces the shortage of any resource.
+fn reduces_shortage(amount: Resources, need: Resources, room: Resources) -> bool {
     (need.millicores > room.millicores && amount.millicores > 0)
         || (need.memory_mib > room.memory_mib && amount.memory_mib > 0)
         || (need.accelerators > room.accelerators && amount.accelerators > 0)
 }
 
-/// Keeps what turned out not to be needed, the most costly first.
-fn spare(chosen: &mut Vec<(f64, &Held)>, need: Resources, mut room: Resources) {
+/// Removes tasks from `chosen` whose eviction is not needed, the most costly first.
+fn drop_unneeded(chosen: &mut Vec<(f64, &ResidentEntry)>, need: Resources, mut room: Resources) {
     for at in (0..chosen.len()).rev() {
         let without = room.saturating_sub(chosen[at].1.resident.resources);
         if need.fits(without) {
--- a/testsuite/tests/testsuite/interference/attribution.rs
+++ b/testsuite/tests/testsuite/interference/attribution.rs
@@ -1,28 +1,28 @@
-//! Slowdown is attributed to the pair that causes it.
+//! Slowdown is attributed to the profile that causes it.
 
 use test_case::test_case;
 use verbenahitch::domain::Profile;
 
-use super::field::{Field, declared};
+use super::simulation::{Simulation, batch_with_pressure};
 
-const CLOSE: f64 = 0.08;
+const TOLERANCE: f64 = 0.08;
 
 #[track_caller]
-fn assert_close(found: f64, wanted: f64) {
+fn assert_close(found: f64, expected: f64) {
     assert!(
-        (found - wanted).abs() < CLOSE,
-        "{found} instead of {wanted}"
+        (found - expected).abs() < TOLERANCE,
+        "found {found}, expected {expected}"
     );
 }
 
-/// Puts every mix of the two profiles on some worker.
-fn mixed(field: &mut Field, profile: &Profile) {
-    for at in 0..field.workers.len() {
+/// Starts each combination of zero to two tasks of both profiles on some worker.
+fn add_mixes(simulation: &mut Simulation, profile: &Profile) {
+    for at in 0..simulation.workers.len() {
         for _ in 0..at % 3 {
-            field.put(at, "noisy", profile);
+            simulation.put(at, "noisy", profile);
         }
         for _ in 0..at / 3 % 3 {
-            field.put(at, "quiet", profile);
+            simulation.put(at, "quiet", profile);
         }
     }
 }
@@ -37,45 +37,45 @@
 #[test_case(Case { noisy: 0.3, quiet: 0.0, declared: 0.0 }; "declared harmless")]
 #[test_case(Case { noisy: 0.1, quiet: 0.1, declared: 1.0 }; "declared harmful")]
 #[test_case(Case { noisy: 0.2, quiet: 0.05, declared: 0.2 }; "unequal")]
-fn several_sources_on_a_worker_share_the_blame_as_due(case: Case) {
-    let mut field = Field::new(18, &[("noisy", case.noisy), ("quiet", case.quiet)]);
-    mixed(&mut field, &declared(case.declared));
+fn slowdown_is_attributed_to_each_source_by_its_true_effect(case: Case) {
+    let mut simulation = Simulation::new(18, &[("noisy", case.noisy), ("quiet", case.quiet)]);
+    add_mixes(&mut simulation, &batch_with_pressure(case.declared));
     for _ in 0..120 {
-        field.report();
+        simulation.report();
     }
-    field.placer.relieve(field.now());
-    assert_close(field.believed("noisy").slowdown, 1.0 + case.noisy);
-    assert_close(field.believed("quiet").slowdown, 1.0 + case.quiet);
+    simulation.placer.relieve(simulation.now());
+    assert_close(simulation.estimated("noisy").slowdown, 1.0 + case.noisy);
+    assert_close(simulation.estimated("quiet").slowdown, 1.0 + case.quiet);
 }
 
 #[test]
-fn the_declared_pressure_stands_until_something_else_was_measured() {
-    let mut field = Field::new(4, &[("noisy", 0.3)]);
+fn the_declared_pressure_is_the_estimate_until_measurements_differ() {
+    let mut simulation = Simulation::new(4, &[("noisy", 0.3)]);
     for at in 0..4 {
-        field.put(at, "noisy", &declared(0.3));
+        simulation.put(at, "noisy", &batch_with_pressure(0.3));
     }
-    field.run(1);
-    assert_close(field.believed("noisy").slowdown, 1.3);
+    simulation.run(1);
+    assert_close(simulation.estimated("noisy").slowdown, 1.3);
 }
 
 #[test]
-fn estimates_follow_when_the_truth_shifts() {
-    let mut field = Field::new(18, &[("noisy", 0.3), ("quiet", 0.0)]);
-    mixed(&mut field, &declared(0.2));
-    field.run(300);
-    assert_close(field.believed("noisy").slowdown, 1.3);
-    field.truth = vec![("noisy", 0.0), ("quiet", 0.3)];
-    field.run(900);
-    assert_close(field.believed("noisy").slowdown, 1.0);
-    assert_close(field.believed("quiet").slowdown, 1.3);
+fn estimates_follow_a_change_of_the_true_slowdowns() {
+    let mut simulation = Simulation::new(18, &[("noisy", 0.3), ("quiet", 0.0)]);
+    add_mixes(&mut simulation, &batch_with_pressure(0.2));
+    simulation.run(300);
+    assert_close(simulation.estimated("noisy").slowdown, 1.3);
+    simulation.slopes = vec![("noisy", 0.0), ("quiet", 0.3)];
+    simulation.run(900);
+    assert_close(simulation.estimated("noisy").slowdown, 1.0);
+    assert_close(simulation.estimated("quiet").slowdown, 1.3);
 }
 
 #[test]
-fn the_strongest_pair_comes_first() {
-    let mut field = Field::new(18, &[("noisy", 0.3), ("quiet", 0.0)]);
-    mixed(&mut field, &declared(0.1));
-    field.run(60);
-    let pairs = field.placer.pressures();
+fn pairs_are_sorted_by_descending_slowdown() {
+    let mut simulation = Simulation::new(18, &[("noisy", 0.3), ("quiet", 0.0)]);
+    add_mixes(&mut simulation, &batch_with_pressure(0.1));
+    simulation.run(60);
+    let pairs = simulation.placer.pressures();
     assert_eq!(pairs[0].source, "noisy");
     assert!(pairs.is_sorted_by(|a, b| a.slowdown >= b.slowdown));
 }
--- a/testsuite/tests/testsuite/interference/mod.rs
+++ b/testsuite/tests/testsuite/interference/mod.rs
@@ -1,5 +1,5 @@
 //! Interference.
 
+mod actions;
 mod attribution;
-mod field;
-mod measures;
+mod simulation;
--- a/testsuite/tests/testsuite/interference/field.rs
+++ b/testsuite/tests/testsuite/interference/simulation.rs
@@ -1,4 +1,4 @@
-//! Workers whose true slowdown the test knows and the placer must find out.
+//! Simulated workers with known slowdowns, which the placer has to estimate from reports.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -12,28 +12,28 @@
 const LAG_MS: u64 = 2_000;
 pub const SERVICE: &str = "service";
 
-/// A worker's batch tasks, each with its share of processors.
+/// Batch tasks on one worker, each with its CPU share.
 #[derive(Default)]
-struct Load {
+struct WorkerLoad {
     runs: Vec<(Resident, f64)>,
 }
 
-/// Workers with one service each, and what truly slows it.
-pub struct Field {
+/// Workers with one service each, and the true slowdown of that service.
+pub struct Simulation {
     pub placer: Placer,
     pub workers: Vec<WorkerKey>,
-    pub alone_us: f64,
-    /// True slowdown by one task of each profile.
-    pub truth: Vec<(&'static str, f64)>,
+    pub baseline_us: f64,
+    /// Fraction of the service's baseline latency that one task of each profile adds.
+    pub slopes: Vec<(&'static str, f64)>,
     pub noise: f64,
     tasks: Tasks,
-    loads: Vec<Load>,
+    loads: Vec<WorkerLoad>,
     rng: ChaCha8Rng,
     second: u64,
 }
 
-impl Field {
-    pub fn new(count: usize, truth: &[(&'static str, f64)]) -> Self {
+impl Simulation {
+    pub fn new(count: usize, slopes: &[(&'static str, f64)]) -> Self {
         let mut placer = Placer::new(11);
         let mut tasks = Tasks::default();
         let workers = workers(&mut placer, count, Resources::new(32, 131_072));
@@ -42,10 +42,10 @@
         }
         Self {
             placer,
-            loads: workers.iter().map(|_| Load::default()).collect(),
+            loads: workers.iter().map(|_| WorkerLoad::default()).collect(),
             workers,
-            alone_us: 20_000.0,
-            truth: truth.to_vec(),
+            baseline_us: 20_000.0,
+            slopes: slopes.to_vec(),
             noise: 0.2,
             tasks,
             rng: ChaCha8Rng::seed_from_u64(4),
@@ -57,40 +57,40 @@
         Monotonic(1_000 * self.second)
     }
 
-    /// Starts a batch task beside the service of the worker at a position.
+    /// Starts a batch task on the worker at an index.
     pub fn put(&mut self, at: usize, name: &str, profile: &Profile) -> Resident {
         let ask = self.tasks.ask(name, profile);
         let resident = self.tasks.resident(&ask, self.now());
-        let taken = self.placer.occupy(self.workers[at], resident.clone());
-        taken.expect("it fits");
+        let occupied = self.placer.occupy(self.workers[at], resident.clone());
+        occupied.expect("the task fits");
         self.loads[at].runs.push((resident.clone(), 1.0));
         resident
     }
 
-    /// True ratio of the service's latency to its latency alone.
+    /// True ratio of the service's latency on a worker to its baseline latency.
     pub fn slowdown(&self, at: usize) -> f64 {
         let runs = self.loads[at].runs.iter();
-        let added = runs.map(|(run, share)| share * self.truth_of(&run.name));
+        let added = runs.map(|(run, share)| share * self.true_slope(&run.name));
         1.0 + added.sum::<f64>()
     }
 
-    /// Whether every batch task has all of its processors.
+    /// Whether every batch task has its full CPU share.
     pub fn is_unthrottled(&self) -> bool {
         let mut runs = self.loads.iter().flat_map(|load| &load.runs);
         runs.all(|(_, share)| *share == 1.0)
     }
 
-    fn truth_of(&self, name: &str) -> f64 {
-        let known = self.truth.iter().find(|(known, _)| *known == name);
-        known.map_or(0.0, |(_, slope)| *slope)
+    fn true_slope(&self, name: &str) -> f64 {
+        let slope = self.slopes.iter().find(|(source, _)| *source == name);
+        slope.map_or(0.0, |(_, slope)| *slope)
     }
 
-    /// Lets every worker report for one second.
+    /// Advances the time by one second and lets every worker report.
     pub fn report(&mut self) {
         self.second += 1;
         for at in 0..self.workers.len() {
             let noise = 1.0 + self.noise * self.rng.random_range(-1.0..1.0);
-            let p99 = self.alone_us * self.slowdown(at) * noise;
+            let p99 = self.baseline_us * self.slowdown(at) * noise;
             let usage = self.usage(at, p99);
             let now = self.now();
             self.placer.observe(self.workers[at], &usage, now);
@@ -117,21 +117,21 @@
         }
     }
 
-    /// Reports and carries the measures out, for some seconds; returns all measures.
+    /// Reports and applies the requested actions for some seconds; returns all actions.
     pub fn run(&mut self, seconds: u64) -> Vec<Relief> {
         let mut all = Vec::new();
         for _ in 0..seconds {
             self.report();
             let now = self.now();
             for relief in self.placer.relieve(now) {
-                self.carry_out(&relief);
+                self.apply(&relief);
                 all.push(relief);
             }
         }
         all
     }
 
-    fn carry_out(&mut self, relief: &Relief) {
+    fn apply(&mut self, relief: &Relief) {
         match relief {
             Relief::Throttle {
                 worker,
@@ -140,8 +140,8 @@
             } => {
                 let at = self.at(*worker);
                 let runs = self.loads[at].runs.iter_mut();
-                for (_, known) in runs.filter(|(run, _)| run.task == *task) {
-                    *known = *share;
+                for (_, current) in runs.filter(|(run, _)| run.task == *task) {
+                    *current = *share;
                 }
             }
             Relief::Evict { worker, task } => {
@@ -154,19 +154,20 @@
 
     fn at(&self, worker: WorkerKey) -> usize {
         let mut all = self.workers.iter();
-        all.position(|key| *key == worker).expect("known worker")
+        all.position(|key| *key == worker)
+            .expect("the worker is in the simulation")
     }
 
-    /// What the placer believes that one task of `source` does to the service.
-    pub fn believed(&self, source: &str) -> Attribution {
+    /// The placer's estimate of how much one task of `source` slows the service.
+    pub fn estimated(&self, source: &str) -> Attribution {
         let mut all = self.placer.pressures().into_iter();
         all.find(|pair| pair.source == source && pair.victim == SERVICE)
             .expect("the pair was measured")
     }
 }
 
-/// A batch profile whose declared pressure is `pressure`.
-pub fn declared(pressure: f64) -> Profile {
+/// A batch profile with a declared pressure.
+pub fn batch_with_pressure(pressure: f64) -> Profile {
     Profile {
         pressure,
         ..batch()
--- a/testsuite/tests/testsuite/placement/choice.rs
+++ b/testsuite/tests/testsuite/placement/choice.rs
@@ -1,4 +1,4 @@
-//! Which worker is chosen.
+//! The choice of a worker for a task.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 const NOW: Monotonic = Monotonic(1_000);
 
 #[test]
-fn the_tightest_worker_that_fits_is_taken() {
+fn the_tightest_worker_that_fits_is_chosen() {
     let mut placer = Placer::new(3);
     let mut tasks = Tasks::default();
     let all = workers(&mut placer, 3, Resources::new(16, 65_536));
@@ -31,17 +31,22 @@
     let mut racks = Vec::new();
     for index in 0..6 {
         let ask = tasks.ask_of(job, index, "service", &service());
-        let worker = placed(&placer.choose(&ask, NOW)).expect("room is plenty");
+        let worker = placed(&placer.choose(&ask, NOW)).expect("a worker has room");
         let resident = tasks.resident(&ask, NOW);
-        placer.occupy(worker, resident).expect("it fits");
-        racks.push(all.iter().position(|key| *key == worker).expect("known") / 3);
+        placer.occupy(worker, resident).expect("the task fits");
+        racks.push(
+            all.iter()
+                .position(|key| *key == worker)
+                .expect("the worker was added")
+                / 3,
+        );
     }
     let in_rack = |rack| racks.iter().filter(|at| **at == rack).count();
     assert_eq!([in_rack(0), in_rack(1), in_rack(2)], [2, 2, 2]);
 }
 
 /// A profile that may not be throttled.
-fn stubborn(pressure: f64) -> Profile {
+fn unthrottleable(pressure: f64) -> Profile {
     Profile {
         pressure,
         min_share: 1.0,
@@ -49,7 +54,8 @@
     }
 }
 
-/// A shard with one worker that runs a service, and four tasks of `heavy` out of its way.
+/// A shard with one open worker that runs a service, and four tasks of `heavy` on another
+/// worker that is closed.
 fn one_service(tasks: &mut Tasks, heavy: &Profile) -> (Placer, WorkerKey) {
     let mut placer = Placer::new(3);
     let all = workers(&mut placer, 2, Resources::new(16, 65_536));
@@ -62,7 +68,7 @@
 }
 
 #[test]
-fn batch_prefers_a_worker_without_a_service_that_it_would_slow() {
+fn batch_prefers_a_worker_without_a_service() {
     let mut placer = Placer::new(3);
     let mut tasks = Tasks::default();
     let all = workers(&mut placer, 2, Resources::new(16, 65_536));
@@ -72,9 +78,9 @@
 }
 
 #[test]
-fn batch_keeps_away_from_a_service_that_it_would_slow_too_much() {
+fn batch_waits_if_it_would_slow_a_service_too_much() {
     let mut tasks = Tasks::default();
-    let heavy = stubborn(0.6);
+    let heavy = unthrottleable(0.6);
     let (placer, _) = one_service(&mut tasks, &heavy);
     let ask = tasks.ask("heavy", &heavy);
     assert_eq!(
@@ -86,14 +92,14 @@
 struct Admission {
     pressure: f64,
     min_share: f64,
-    let_in: bool,
+    admitted: bool,
 }
 
-#[test_case(Admission { pressure: 0.6, min_share: 0.25, let_in: true }; "bearable at half its share")]
-#[test_case(Admission { pressure: 0.8, min_share: 0.5, let_in: true }; "bearable at just its least share")]
-#[test_case(Admission { pressure: 0.8, min_share: 0.8, let_in: false }; "may not be throttled enough")]
-#[test_case(Admission { pressure: 0.6, min_share: 1.0, let_in: false }; "may not be throttled at all")]
-fn batch_is_let_in_beside_a_service_if_half_its_share_is_bearable(case: Admission) {
+#[test_case(Admission { pressure: 0.6, min_share: 0.25, admitted: true }; "tolerable at half its share")]
+#[test_case(Admission { pressure: 0.8, min_share: 0.5, admitted: true }; "tolerable at its minimum share")]
+#[test_case(Admission { pressure: 0.8, min_share: 0.8, admitted: false }; "minimum share too high")]
+#[test_case(Admission { pressure: 0.6, min_share: 1.0, admitted: false }; "not throttleable")]
+fn batch_is_placed_beside_a_service_if_half_its_share_is_tolerable(case: Admission) {
     let mut tasks = Tasks::default();
     let heavy = Profile {
         pressure: case.pressure,
@@ -102,12 +108,12 @@
     };
     let (placer, worker) = one_service(&mut tasks, &heavy);
     let ask = tasks.ask("heavy", &heavy);
-    let expected = case.let_in.then_some(worker);
+    let expected = case.admitted.then_some(worker);
     assert_eq!(placed(&placer.choose(&ask, NOW)), expected);
 }
 
 #[test]
-fn a_few_tasks_are_tried_beside_a_service_before_their_pressure_is_known() {
+fn trial_tasks_run_beside_a_service_before_their_pressure_is_measured() {
     let mut tasks = Tasks::default();
     let heavy = Profile {
         pressure: 0.6,
@@ -124,7 +130,7 @@
         if let Choice::Place { worker: chosen, .. } = placer.choose(&ask, NOW) {
             assert_eq!(chosen, worker);
             let resident = tasks.resident(&ask, NOW);
-            placer.occupy(chosen, resident).expect("it fits");
+            placer.occupy(chosen, resident).expect("the task fits");
             tried += 1;
         }
     }
@@ -132,9 +138,9 @@
 }
 
 #[test]
-fn batch_that_waited_past_its_deadline_is_placed_in_spite_of_its_pressure() {
+fn overdue_batch_is_placed_regardless_of_its_pressure() {
     let mut tasks = Tasks::default();
-    let heavy = stubborn(1.0);
+    let heavy = unthrottleable(1.0);
     let (placer, worker) = one_service(&mut tasks, &heavy);
     let mut ask = tasks.ask("heavy", &heavy);
     assert_eq!(
@@ -146,7 +152,7 @@
 }
 
 #[test]
-fn work_of_more_worth_goes_where_work_of_less_can_be_throttled_for_it() {
+fn higher_worth_is_placed_where_lower_worth_can_be_throttled() {
     let mut tasks = Tasks::default();
     let cheap = Profile {
         worth: 1,
@@ -158,7 +164,7 @@
     let ask_of = |tasks: &mut Tasks, placer: &mut Placer, worth: u32| {
         let profile = Profile {
             worth,
-            ..stubborn(0.3)
+            ..unthrottleable(0.3)
         };
         let ask = tasks.ask(&format!("worth-{worth}"), &profile);
         let spare = placer.add_worker(Resources::new(16, 65_536), "spare", WorkerState::Closed);
@@ -172,12 +178,12 @@
         placer.choose(&equal, NOW),
         Choice::Wait(Reason::TooMuchPressure)
     );
-    let dear = ask_of(&mut tasks, &mut placer, 100);
-    assert_eq!(placed(&placer.choose(&dear, NOW)), Some(worker));
+    let valuable = ask_of(&mut tasks, &mut placer, 100);
+    assert_eq!(placed(&placer.choose(&valuable, NOW)), Some(worker));
 }
 
 #[test]
-fn a_worker_to_avoid_is_taken_only_if_no_other_can() {
+fn a_worker_to_avoid_is_chosen_only_if_no_other_has_room() {
     let mut placer = Placer::new(3);
     let mut tasks = Tasks::default();
     let all = workers(&mut placer, 2, Resources::new(16, 65_536));
@@ -189,7 +195,7 @@
 }
 
 #[test]
-fn a_team_waits_once_this_shards_part_of_its_quota_is_used() {
+fn a_team_waits_once_the_shards_part_of_its_quota_is_used() {
     let mut placer = Placer::new(3);
     let mut tasks = Tasks::default();
     let all = workers(&mut placer, 4, Resources::new(16, 65_536));
@@ -205,7 +211,7 @@
 }
 
 #[test]
-fn a_full_shard_says_so() {
+fn a_task_waits_for_room_in_a_full_shard() {
     let mut placer = Placer::new(3);
     let mut tasks = Tasks::default();
     let all = workers(&mut placer, 1, Resources::new(1, 1_024));
@@ -215,7 +221,7 @@
 }
 
 #[test]
-fn the_only_worker_with_the_memory_is_found_among_many() {
+fn the_only_worker_with_enough_memory_is_found_among_many() {
     let mut placer = Placer::new(3);
     let mut tasks = Tasks::default();
     workers(&mut placer, 500, Resources::new(16, 1_024));
--- a/testsuite/tests/testsuite/placement/commitment.rs
+++ b/testsuite/tests/testsuite/placement/commitment.rs
@@ -1,4 +1,4 @@
-//! No worker is committed beyond its size.
+//! No worker is committed beyond its capacity.
 
 use proptest::prelude::*;
 use test_case::test_case;
@@ -7,16 +7,16 @@
 
 use super::fixture::{Tasks, batch, placed, service, workers};
 
-struct Fit {
+struct FitCase {
     need: Resources,
     room: Resources,
     fits: bool,
 }
 
-#[test_case(Fit { need: Resources::new(2, 100), room: Resources::new(2, 100), fits: true }; "exact")]
-#[test_case(Fit { need: Resources::new(2, 100), room: Resources::new(1, 200), fits: false }; "processors short")]
-#[test_case(Fit { need: Resources::new(2, 100), room: Resources::new(4, 99), fits: false }; "memory short")]
-fn fits_needs_every_resource(case: Fit) {
+#[test_case(FitCase { need: Resources::new(2, 100), room: Resources::new(2, 100), fits: true }; "exact")]
+#[test_case(FitCase { need: Resources::new(2, 100), room: Resources::new(1, 200), fits: false }; "processors short")]
+#[test_case(FitCase { need: Resources::new(2, 100), room: Resources::new(4, 99), fits: false }; "memory short")]
+fn fits_needs_every_resource(case: FitCase) {
     assert_eq!(case.need.fits(case.room), case.fits);
     assert_eq!(case.room.checked_sub(case.need).is_some(), case.fits);
 }
@@ -66,15 +66,15 @@
     ]
 }
 
-/// The workers as they are, kept apart from the placer.
+/// Reference model of the workers, updated independently of the placer.
 #[derive(Default)]
-struct Truth {
+struct Model {
     runs: Vec<(WorkerKey, Resident)>,
     shrunk: Vec<WorkerKey>,
     states: Vec<(WorkerKey, WorkerState)>,
 }
 
-impl Truth {
+impl Model {
     fn committed(&self, worker: WorkerKey) -> Resources {
         let runs = self.runs.iter().filter(|(on, _)| *on == worker);
         runs.fold(Resources::ZERO, |sum, (_, run)| sum + run.resources)
@@ -90,8 +90,14 @@
     }
 }
 
-fn profile_of(cores: u64, gib: u64, accelerators: u64, urgent: bool, lc: bool) -> Profile {
-    let mut profile = if lc { service() } else { batch() };
+fn profile_of(
+    cores: u64,
+    gib: u64,
+    accelerators: u64,
+    urgent: bool,
+    latency_critical: bool,
+) -> Profile {
+    let mut profile = if latency_critical { service() } else { batch() };
     profile.resources = Resources {
         accelerators,
         ..Resources::new(cores, gib * 1_024)
@@ -109,23 +115,23 @@
     })]
 
     #[test]
-    fn any_course_of_events_keeps_workers_within_their_size(steps in prop::collection::vec(step(), 1..200)) {
+    fn no_sequence_of_steps_commits_a_worker_beyond_its_size(steps in prop::collection::vec(step(), 1..200)) {
         let mut placer = Placer::new(7);
         let mut tasks = Tasks::default();
-        let mut truth = Truth::default();
+        let mut model = Model::default();
         let size = Resources { accelerators: 1, ..Resources::new(16, 61_440) };
         for worker in workers(&mut placer, 8, size) {
-            truth.states.push((worker, WorkerState::Open));
+            model.states.push((worker, WorkerState::Open));
         }
         for (at, step) in steps.into_iter().enumerate() {
-            let now = Monotonic(1_000 * u64::try_from(at).expect("small"));
-            take(step, now, &mut placer, &mut tasks, &mut truth);
-            truth.check(&placer);
+            let now = Monotonic(1_000 * u64::try_from(at).expect("the index fits into u64"));
+            apply(step, now, &mut placer, &mut tasks, &mut model);
+            model.check(&placer);
         }
     }
 }
 
-fn take(step: Step, now: Monotonic, placer: &mut Placer, tasks: &mut Tasks, truth: &mut Truth) {
+fn apply(step: Step, now: Monotonic, placer: &mut Placer, tasks: &mut Tasks, model: &mut Model) {
     match step {
         Step::Place {
             cores,
@@ -138,19 +144,19 @@
             let ask = tasks.ask("work", &profile);
             match placer.choose(&ask, now) {
                 Choice::Place { worker, .. } => {
-                    let state = truth.states.iter().find(|(key, _)| *key == worker);
+                    let state = model.states.iter().find(|(key, _)| *key == worker);
                     assert!(state.is_some_and(|(_, state)| *state != WorkerState::Closed));
                     let resident = tasks.resident(&ask, now);
                     placer
                         .occupy(worker, resident.clone())
-                        .expect("what was chosen fits");
-                    truth.runs.push((worker, resident));
+                        .expect("the chosen worker has room");
+                    model.runs.push((worker, resident));
                 }
                 Choice::Evict { worker, victims } => {
                     placer.evict(&ask, worker, &victims, now);
                     for victim in victims {
                         assert!(placer.vacate(worker, victim));
-                        truth.runs.retain(|(_, run)| run.task != victim);
+                        model.runs.retain(|(_, run)| run.task != victim);
                     }
                     assert_eq!(placed(&placer.choose(&ask, now)), Some(worker));
                 }
@@ -160,46 +166,46 @@
         Step::Force { worker, cores } => {
             let ask = tasks.ask("work", &profile_of(cores, 1, 0, false, false));
             let resident = tasks.resident(&ask, now);
-            let Some((worker, _)) = truth.states.get(worker) else {
+            let Some((worker, _)) = model.states.get(worker) else {
                 return;
             };
             let fits = resident.resources.fits(placer.free(*worker));
             assert_eq!(placer.occupy(*worker, resident.clone()).is_ok(), fits);
             if fits {
-                truth.runs.push((*worker, resident));
+                model.runs.push((*worker, resident));
             }
         }
-        Step::End(at) if at < truth.runs.len() => {
-            let (worker, run) = truth.runs.swap_remove(at);
+        Step::End(at) if at < model.runs.len() => {
+            let (worker, run) = model.runs.swap_remove(at);
             assert!(placer.vacate(worker, run.task));
             assert!(!placer.vacate(worker, run.task));
         }
         Step::End(_) => {}
         Step::Resize { worker, cores } => {
-            let Some((worker, _)) = truth.states.get(worker) else {
+            let Some((worker, _)) = model.states.get(worker) else {
                 return;
             };
             placer.resize(*worker, Resources::new(cores, 61_440));
-            truth.shrunk.push(*worker);
+            model.shrunk.push(*worker);
         }
         Step::State { worker, state } => {
-            let Some((worker, known)) = truth.states.get_mut(worker) else {
+            let Some((worker, current)) = model.states.get_mut(worker) else {
                 return;
             };
             placer.set_state(*worker, state);
-            *known = state;
+            *current = state;
         }
-        Step::Remove(at) if at < truth.states.len() => {
-            let (worker, _) = truth.states.swap_remove(at);
+        Step::Remove(at) if at < model.states.len() => {
+            let (worker, _) = model.states.swap_remove(at);
             placer.remove_worker(worker);
-            truth.runs.retain(|(on, _)| *on != worker);
+            model.runs.retain(|(on, _)| *on != worker);
         }
         Step::Remove(_) => {}
     }
 }
 
 #[test]
-fn a_worker_that_shrank_gets_its_room_back_only_below_its_new_size() {
+fn a_shrunk_worker_has_free_room_only_below_its_new_size() {
     let mut placer = Placer::new(1);
     let mut tasks = Tasks::default();
     let worker = placer.add_worker(Resources::new(4, 8_192), "rack", WorkerState::Open);
--- a/testsuite/tests/testsuite/placement/fixture.rs
+++ b/testsuite/tests/testsuite/placement/fixture.rs
@@ -1,4 +1,4 @@
-//! Profiles, declarations and tasks for the tests of placement.
+//! Profiles, declarations, tasks and workers for the placement tests.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -28,7 +28,7 @@
     }
 }
 
-/// A latency-critical profile of two cores and 4 GiB that tolerates 1.5 times its latency alone.
+/// A latency-critical profile of two cores and 4 GiB that tolerates 1.5 times its baseline latency.
 pub fn service() -> Profile {
     Profile {
         class: Class::LatencyCritical,
@@ -59,7 +59,7 @@
     }
 }
 
-/// Tasks with fresh keys and runs.
+/// Source of tasks with unique keys and run numbers.
 #[derive(Default)]
 pub struct Tasks {
     jobs: SlotMap<JobKey, ()>,
@@ -67,13 +67,13 @@
 }
 
 impl Tasks {
-    /// A task of a job of its own.
+    /// The only task of a new job.
     pub fn ask(&mut self, name: &str, profile: &Profile) -> Ask {
         let job = self.jobs.insert(());
         self.ask_of(job, 0, name, profile)
     }
 
-    /// A job.
+    /// A new job.
     pub fn job(&mut self) -> JobKey {
         self.jobs.insert(())
     }
@@ -89,7 +89,7 @@
         }
     }
 
-    /// What occupies a worker for `ask`.
+    /// A run of the task in `ask`, with its declared resources.
     pub fn resident(&mut self, ask: &Ask, since: Monotonic) -> Resident {
         self.run += 1;
         Resident {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Occupies `worker` with a fresh task, which must fit; returns its resident.
+    /// Places a new task on `worker`, where it must fit.
     pub fn put(
         &mut self,
         placer: &mut Placer,
@@ -112,7 +112,9 @@
     ) -> Resident {
         let ask = self.ask(name, profile);
         let resident = self.resident(&ask, Monotonic(0));
-        placer.occupy(worker, resident.clone()).expect("it fits");
+        placer
+            .occupy(worker, resident.clone())
+            .expect("the task fits");
         resident
     }
 }
@@ -124,7 +126,7 @@
     (0..count).map(add).collect()
 }
 
-/// Worker of a placement, if it is one.
+/// Worker of a choice, if it places the task.
 pub fn placed(choice: &Choice) -> Option<WorkerKey> {
     match choice {
         Choice::Place { worker, .. } => Some(*worker),
--- a/testsuite/tests/testsuite/placement/never.rs
+++ b/testsuite/tests/testsuite/placement/infeasible.rs
@@ -1,4 +1,4 @@
-//! Tasks that can never run are told so, with what is short.
+//! Tasks that no worker could ever run are refused with the reason.
 
 use std::sync::Arc;
 
@@ -19,7 +19,7 @@
 #[test_case(Case { need: Resources { accelerators: 1, ..Resources::new(1, 1) }, reason: Some("1 accelerators are needed, there are 0 on the largest worker") }; "accelerators")]
 #[test_case(Case { need: Resources::new(20, 50_000), reason: Some("no single worker has all of") }; "no worker has both")]
 #[test_case(Case { need: Resources::new(30, 1), reason: Some("30000 millicores are needed, there are 24000 in the whole quota of team \"night\"") }; "quota")]
-fn never(case: Case) {
+fn infeasible(case: Case) {
     let mut placer = Placer::new(1);
     placer.add_worker(Resources::new(16, 65_536), "a", WorkerState::Closed);
     placer.add_worker(Resources::new(32, 32_768), "a", WorkerState::Open);
--- a/testsuite/tests/testsuite/placement/mod.rs
+++ b/testsuite/tests/testsuite/placement/mod.rs
@@ -3,7 +3,7 @@
 mod choice;
 mod commitment;
 pub mod fixture;
-mod never;
+mod infeasible;
 mod quarantine;
 mod queue;
 mod sizes;
--- a/testsuite/tests/testsuite/placement/quarantine.rs
+++ b/testsuite/tests/testsuite/placement/quarantine.rs
@@ -1,4 +1,4 @@
-//! A quarantined worker gets one probe at a time.
+//! A quarantined worker gets one probe task at a time.
 
 use test_case::test_case;
 use verbenahitch::domain::{Class, Monotonic, Profile, Resources};
@@ -17,10 +17,10 @@
 }
 
 #[test]
-fn one_probe_at_a_time_and_later_ones_ever_more_rarely() {
+fn one_probe_at_a_time_at_doubling_intervals() {
     let mut placer = Placer::new(1);
     let mut tasks = Tasks::default();
-    let bad = placer.add_worker(Resources::new(16, 65_536), "a", WorkerState::Quarantined);
+    let worker = placer.add_worker(Resources::new(16, 65_536), "a", WorkerState::Quarantined);
     let mut starts = Vec::new();
     for second in 0..100 {
         let now = Monotonic(1_000 * second);
@@ -28,10 +28,10 @@
         let choice = placer.choose(&ask, now);
         if is_probe(&choice) {
             let resident = tasks.resident(&ask, now);
-            placer.occupy(bad, resident).expect("it fits");
+            placer.occupy(worker, resident).expect("the task fits");
             let other = tasks.ask("work", &batch());
             assert_eq!(placer.choose(&other, now), Choice::Wait(Reason::NoRoom));
-            placer.vacate(bad, ask.task);
+            placer.vacate(worker, ask.task);
             starts.push(second);
         }
     }
@@ -52,7 +52,7 @@
 #[test_case(Profile { class: Class::LatencyCritical, ..batch() }; "latency critical")]
 #[test_case(Profile { idempotent: false, ..batch() }; "not idempotent")]
 #[test_case(Profile { urgent: true, ..batch() }; "urgent")]
-fn not_a_probe(profile: Profile) {
+fn not_used_as_probe(profile: Profile) {
     let mut placer = Placer::new(1);
     placer.add_worker(Resources::new(16, 65_536), "a", WorkerState::Quarantined);
     let ask = Tasks::default().ask("work", &profile);
--- a/testsuite/tests/testsuite/placement/queue.rs
+++ b/testsuite/tests/testsuite/placement/queue.rs
@@ -1,4 +1,4 @@
-//! The order in which waiting tasks are offered.
+//! Order in which waiting tasks are offered for placement.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 
 use super::fixture::{Tasks, batch, declarations, workers};
 
-/// Names of the first `count` tasks that are offered.
+/// Profile names of the first `count` offered tasks, which are taken; the others are declined.
 fn order(queue: &mut Queue, placer: &mut Placer, now: Monotonic, count: usize) -> Vec<String> {
     let mut names = Vec::new();
     queue.drain(placer, now, |_, ask| {
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn urgent_before_worth_before_the_rest() {
+fn urgent_tasks_go_first_then_those_of_higher_worth() {
     let mut tasks = Tasks::default();
     let mut queue = Queue::new();
     let profiles = [
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn the_least_worth_is_reached_however_much_of_the_highest_keeps_arriving() {
+fn a_task_of_low_worth_is_not_starved_by_arrivals_of_high_worth() {
     let mut tasks = Tasks::default();
     let mut placer = Placer::new(1);
     let mut queue = Queue::new();
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn of_two_equal_teams_the_one_that_uses_less_of_its_quota_goes_first() {
+fn the_team_that_uses_less_of_its_quota_goes_first() {
     let mut tasks = Tasks::default();
     let mut placer = Placer::new(1);
     let all = workers(&mut placer, 1, Resources::new(16, 65_536));
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_withdrawn_task_is_not_offered_and_may_come_back() {
+fn a_withdrawn_task_is_not_offered_unless_pushed_again() {
     let mut tasks = Tasks::default();
     let mut placer = Placer::new(1);
     let mut queue = Queue::new();
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_profile_that_finds_no_room_does_not_hold_up_the_others() {
+fn a_declined_profile_does_not_block_others() {
     let mut tasks = Tasks::default();
     let mut placer = Placer::new(1);
     let mut queue = Queue::new();
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn while_room_is_made_for_a_task_the_next_of_its_profile_is_offered() {
+fn the_next_task_of_a_profile_is_offered_after_a_promise() {
     let mut tasks = Tasks::default();
     let mut placer = Placer::new(1);
     let mut queue = Queue::new();
--- a/testsuite/tests/testsuite/placement/sizes.rs
+++ b/testsuite/tests/testsuite/placement/sizes.rs
@@ -1,4 +1,4 @@
-//! Declared sizes are corrected from observed usage.
+//! Predicted sizes follow observed usage.
 
 use test_case::test_case;
 use verbenahitch::domain::{Monotonic, Resources};
@@ -14,8 +14,8 @@
     size: Resources,
 }
 
-#[test_case(Case { millicores: 200, memory_mib: 200, reports: 30, size: Resources { millicores: 200, memory_mib: 256, accelerators: 0 } }; "a fifth")]
-#[test_case(Case { millicores: 5_000, memory_mib: 5_120, reports: 30, size: Resources { millicores: 6_300, memory_mib: 6_400, accelerators: 0 } }; "five times")]
+#[test_case(Case { millicores: 200, memory_mib: 200, reports: 30, size: Resources { millicores: 200, memory_mib: 256, accelerators: 0 } }; "usage of a fifth")]
+#[test_case(Case { millicores: 5_000, memory_mib: 5_120, reports: 30, size: Resources { millicores: 6_300, memory_mib: 6_400, accelerators: 0 } }; "usage of five times")]
 #[test_case(Case { millicores: 200, memory_mib: 200, reports: 3, size: Resources::new(1, 1_024) }; "too few reports")]
 fn predicted(case: Case) {
     let mut placer = Placer::new(1);
@@ -51,7 +51,7 @@
         let mut run = tasks.resident(&ask, Monotonic(1_000 * second));
         run.resources = placer.size("work", &batch());
         let used = run.resources.millicores.min(2_000);
-        placer.occupy(worker, run.clone()).expect("it fits");
+        placer.occupy(worker, run.clone()).expect("the task fits");
         for _ in 0..30 {
             second += 1;
             let task = TaskUsage {
--- a/testsuite/tests/testsuite/placement/urgent.rs
+++ b/testsuite/tests/testsuite/placement/urgent.rs
@@ -1,4 +1,4 @@
-//! Urgent work makes room by evicting as little worth as it can.
+//! Urgent tasks evict the least possible worth to make room.
 
 use test_case::test_case;
 use verbenahitch::domain::{Class, Eviction, Monotonic, Profile, Resources};
@@ -20,15 +20,15 @@
     /// Worth and cores of the tasks of each worker of 4 cores.
     workers: [&'static [(u32, u64)]; 2],
     need: u64,
-    /// Worker and worths of the tasks that are to go.
+    /// Expected worker, and worths of its tasks to evict.
     victims: (usize, &'static [u32]),
 }
 
 #[test_case(Case { workers: [&[(5, 4)], &[(3, 4)]], need: 1, victims: (1, &[3]) }; "the worker with the least worth")]
-#[test_case(Case { workers: [&[(9, 2), (1, 2)], &[(4, 4)]], need: 2, victims: (0, &[1]) }; "the least task of a worker")]
-#[test_case(Case { workers: [&[(1, 1), (2, 2), (9, 1)], &[(4, 4)]], need: 2, victims: (0, &[2]) }; "none that is not needed")]
-#[test_case(Case { workers: [&[(2, 2), (2, 2)], &[(3, 4)]], need: 4, victims: (1, &[3]) }; "sum of several")]
-fn least_worth(case: Case) {
+#[test_case(Case { workers: [&[(9, 2), (1, 2)], &[(4, 4)]], need: 2, victims: (0, &[1]) }; "the task of least worth on a worker")]
+#[test_case(Case { workers: [&[(1, 1), (2, 2), (9, 1)], &[(4, 4)]], need: 2, victims: (0, &[2]) }; "no task whose eviction is not needed")]
+#[test_case(Case { workers: [&[(2, 2), (2, 2)], &[(3, 4)]], need: 4, victims: (1, &[3]) }; "least sum of several tasks")]
+fn evicts_the_least_worth(case: Case) {
     let mut placer = Placer::new(5);
     let mut tasks = Tasks::default();
     let all = workers(&mut placer, 2, Resources::new(4, 65_536));
@@ -45,7 +45,7 @@
     }
     let ask = tasks.ask("urgent", &urgent(case.need));
     let Choice::Evict { worker, victims } = placer.choose(&ask, NOW) else {
-        panic!("nothing is evicted");
+        panic!("expected an eviction");
     };
     let worths: Vec<u32> = placer
         .residents(worker)
@@ -60,9 +60,9 @@
 
 #[test_case(Profile { class: Class::LatencyCritical, ..batch() }; "latency critical")]
 #[test_case(Profile { urgent: true, ..batch() }; "urgent itself")]
-#[test_case(Profile { eviction: Eviction { allowed: false, ..Eviction::default() }, ..batch() }; "not to be evicted")]
-#[test_case(Profile { eviction: Eviction { hourly_budget: 0, ..Eviction::default() }, ..batch() }; "budget spent")]
-fn stays(profile: Profile) {
+#[test_case(Profile { eviction: Eviction { allowed: false, ..Eviction::default() }, ..batch() }; "eviction not allowed")]
+#[test_case(Profile { eviction: Eviction { hourly_budget: 0, ..Eviction::default() }, ..batch() }; "no budget")]
+fn not_evicted(profile: Profile) {
     let mut placer = Placer::new(5);
     let mut tasks = Tasks::default();
     let all = workers(&mut placer, 1, Resources::new(1, 65_536));
@@ -96,14 +96,14 @@
 }
 
 #[test]
-fn room_that_is_being_made_is_kept_for_the_task_that_asked() {
+fn room_freed_by_an_eviction_is_reserved_for_its_task() {
     let mut placer = Placer::new(5);
     let mut tasks = Tasks::default();
     let all = workers(&mut placer, 1, Resources::new(2, 65_536));
     let runs = [(); 2].map(|()| tasks.put(&mut placer, all[0], "work", &batch()));
     let first = tasks.ask("urgent", &urgent(1));
     let Choice::Evict { worker, victims } = placer.choose(&first, NOW) else {
-        panic!("nothing is evicted");
+        panic!("expected an eviction");
     };
     placer.evict(&first, worker, &victims, NOW);
     assert_eq!(placer.choose(&first, NOW), Choice::Wait(Reason::Promised));
@@ -112,26 +112,26 @@
         victims: others, ..
     } = placer.choose(&second, NOW)
     else {
-        panic!("nothing is evicted for the second");
+        panic!("expected an eviction for the second task");
     };
     assert_ne!(victims, others);
     let victim = runs
         .iter()
         .find(|run| victims.contains(&run.task))
-        .expect("known");
+        .expect("the victim is one of the runs");
     placer.vacate(worker, victim.task);
-    let thief = tasks.ask("work", &batch());
-    assert_eq!(placed(&placer.choose(&thief, NOW)), None);
+    let batch_ask = tasks.ask("work", &batch());
+    assert_eq!(placed(&placer.choose(&batch_ask, NOW)), None);
     assert_eq!(placed(&placer.choose(&first, NOW)), Some(worker));
     assert!(placer.relieve(Monotonic(60_000)).is_empty());
     assert_eq!(
-        placed(&placer.choose(&thief, Monotonic(60_000))),
+        placed(&placer.choose(&batch_ask, Monotonic(60_000))),
         Some(worker)
     );
 }
 
 #[test]
-fn a_budget_is_spent_by_each_eviction_and_comes_back_after_an_hour() {
+fn an_eviction_counts_against_the_budget_for_an_hour() {
     let mut placer = Placer::new(5);
     let mut tasks = Tasks::default();
     let all = workers(&mut placer, 1, Resources::new(1, 65_536));
