--- a/crates/verbenahitch/src/dispatch/assign.rs
+++ b/crates/verbenahitch/src/dispatch/assign.rs
@@ -6,34 +6,34 @@
 use slotmap::SecondaryMap;
 
 use super::place::{self, Misfit};
+use super::step_order::StepRank;
 use super::table::Task;
-use super::wait::Standing;
 use super::worker::WorkerKey;
 use super::{Dispatcher, Entry, JobId, Kind, Millis, Monotonic, StepSpec, TaskId};
 
-/// Steps of fillers that find no place after which one pass tries no more of them:
-/// those behind them are as large and less urgent, as a rule.
-const FULL_STEPS: usize = 8;
+/// Number of filler steps without a place after which a pass skips all further ones:
+/// these are usually as large and less urgent.
+const MAX_UNPLACED_FILLERS: usize = 8;
 
 /// A step with tasks to place.
 struct Waiting {
-    standing: Standing,
+    rank: StepRank,
     job: JobId,
     round: u32,
     step: u32,
     filler: bool,
 }
 
-/// What one pass of assignments looks at.
-struct Search {
+/// State of one assignment pass.
+struct AssignPass {
     usable: Vec<WorkerKey>,
-    /// Pools and steps that found no worker with the label and the room.
+    /// Pools and steps for which no worker had the label and the free resources.
     unplaced: Vec<(String, StepSpec)>,
     now: Monotonic,
 }
 
-impl Search {
-    /// Whether a step that needs no more was tried in vain.
+impl AssignPass {
+    /// Whether this pass failed to place a step of the pool that needs as little or less.
     fn is_unplaceable(&self, pool: &str, step: &StepSpec) -> bool {
         self.unplaced.iter().any(|(tried, other)| {
             tried == pool
@@ -43,58 +43,58 @@
     }
 }
 
-/// A worker that a task can go to.
+/// Worker on which a task can be placed.
 #[derive(Clone, Copy, Debug)]
-struct Offer {
+struct Candidate {
     cost: f64,
     worker: WorkerKey,
 }
 
-impl PartialEq for Offer {
+impl PartialEq for Candidate {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl Eq for Offer {}
+impl Eq for Candidate {}
 
-impl PartialOrd for Offer {
+impl PartialOrd for Candidate {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Offer {
-    /// The cheapest is the greatest; of equals, the first in the arena.
+impl Ord for Candidate {
+    /// The cheapest candidate is the greatest, and among equals the first in the arena.
     fn cmp(&self, other: &Self) -> Ordering {
         let by_cost = other.cost.total_cmp(&self.cost);
         by_cost.then(other.worker.cmp(&self.worker))
     }
 }
 
-/// Takes out the cheapest worker, with a cost on the one to avoid.
-fn cheapest(offers: &mut BinaryHeap<Offer>, avoid: Option<WorkerKey>) -> Option<WorkerKey> {
-    let first = offers.pop()?;
+/// Removes and returns the cheapest worker, counting a penalty for the one to avoid.
+fn cheapest(candidates: &mut BinaryHeap<Candidate>, avoid: Option<WorkerKey>) -> Option<WorkerKey> {
+    let first = candidates.pop()?;
     if avoid != Some(first.worker) {
         return Some(first.worker);
     }
-    let is_better = |second: &Offer| second.cost < first.cost + place::AVOID_COST;
-    if offers.peek().is_some_and(is_better) {
-        let second = offers.pop()?;
-        offers.push(first);
+    let is_better = |second: &Candidate| second.cost < first.cost + place::AVOID_COST;
+    if candidates.peek().is_some_and(is_better) {
+        let second = candidates.pop()?;
+        candidates.push(first);
         return Some(second.worker);
     }
     Some(first.worker)
 }
 
-/// Tasks of a step on a worker.
-fn count(same: &SecondaryMap<WorkerKey, u32>, worker: WorkerKey) -> u32 {
-    same.get(worker).copied().unwrap_or(0)
+/// Number of tasks of a step on a worker.
+fn count_on(per_worker: &SecondaryMap<WorkerKey, u32>, worker: WorkerKey) -> u32 {
+    per_worker.get(worker).copied().unwrap_or(0)
 }
 
-/// Workers that a task cannot go to, by the reason.
+/// Numbers of workers on which a task cannot be placed, by reason.
 #[derive(Clone, Copy, Debug, Default)]
-struct Misfits {
+struct MisfitCounts {
     label: u32,
     spread: u32,
     room: u32,
@@ -102,8 +102,8 @@
     harm: u32,
 }
 
-impl Misfits {
-    fn note(&mut self, misfit: Misfit) {
+impl MisfitCounts {
+    fn count(&mut self, misfit: Misfit) {
         *match misfit {
             Misfit::Label => &mut self.label,
             Misfit::Spread => &mut self.spread,
@@ -121,31 +121,31 @@
         let mut pending = std::mem::take(&mut self.pending);
         pending.retain(|id| {
             let before = found.len();
-            self.add_waiting(*id, now, &mut found);
+            self.add_waiting_steps(*id, now, &mut found);
             found.len() > before
         });
         self.pending = pending;
         found.sort_by(|a, b| {
-            let order = a.standing.compare(&b.standing);
+            let order = a.rank.compare(&b.rank);
             order.then(a.job.cmp(&b.job)).then(a.step.cmp(&b.step))
         });
         found
     }
 
     /// Adds the waiting steps of a job.
-    fn add_waiting(&self, id: JobId, now: Monotonic, found: &mut Vec<Waiting>) {
+    fn add_waiting_steps(&self, id: JobId, now: Monotonic, found: &mut Vec<Waiting>) {
         let Some(job) = self.jobs.get(&id).filter(|job| !job.state.is_final()) else {
             return;
         };
-        let terms = self.terms(job);
-        let longest = job.chains.iter().max().copied().unwrap_or(0);
+        let queue = self.queue_of(job);
+        let longest = job.critical_paths.iter().max().copied().unwrap_or(0);
         #[expect(
             clippy::cast_precision_loss,
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             reason = "durations are far below 2^52 ms"
         )]
-        let stretched = (longest as f64 * terms.stretch.max(0.0)) as Millis;
+        let stretched = (longest as f64 * queue.stretch.max(0.0)) as Millis;
         for round in &job.rounds {
             for (step, state) in (0u32..).zip(&round.steps) {
                 let spec = &job.record.spec.steps[step as usize];
@@ -154,12 +154,12 @@
                     continue;
                 }
                 found.push(Waiting {
-                    standing: Standing {
-                        priority: terms.priority,
-                        age_ms: now.since(job.arrived),
-                        left_ms: job.chains[step as usize],
-                        objective_ms: stretched + terms.target_ms,
-                        lasting: spec.standing,
+                    rank: StepRank {
+                        priority: queue.priority,
+                        age_ms: now.since(job.accepted_at),
+                        remaining_ms: job.critical_paths[step as usize],
+                        objective_ms: stretched + queue.target_ms,
+                        standing: spec.standing,
                     },
                     job: id,
                     round: round.number,
@@ -177,7 +177,7 @@
             return;
         }
         let keys: Vec<WorkerKey> = self.workers.keys().collect();
-        let mut search = Search {
+        let mut pass = AssignPass {
             usable: keys
                 .into_iter()
                 .filter(|key| self.is_usable(*key, now))
@@ -185,23 +185,23 @@
             unplaced: Vec::new(),
             now,
         };
-        let mut full = 0;
+        let mut unplaced_fillers = 0;
         for step in waiting {
-            if step.filler && full >= FULL_STEPS {
+            if step.filler && unplaced_fillers >= MAX_UNPLACED_FILLERS {
                 continue;
             }
-            let is_placed = self.assign_step(&step, &mut search);
+            let is_placed = self.assign_step(&step, &mut pass);
             if step.filler && !is_placed {
-                full += 1;
+                unplaced_fillers += 1;
             }
         }
     }
 
-    /// Assigns the waiting tasks of a step; false if some found no place.
-    fn assign_step(&mut self, step: &Waiting, search: &mut Search) -> bool {
+    /// Assigns the waiting tasks of a step; returns false if some found no place.
+    fn assign_step(&mut self, step: &Waiting, pass: &mut AssignPass) -> bool {
         let job = &self.jobs[&step.job];
         let spec = &job.record.spec.steps[step.step as usize];
-        if !spec.filler && search.is_unplaceable(&self.terms(job).pool, spec) {
+        if !spec.filler && pass.is_unplaceable(&self.queue_of(job).pool, spec) {
             return false;
         }
         let round = job.rounds.iter().find(|round| round.number == step.round);
@@ -213,90 +213,96 @@
             .filter(|(_, task)| task.is_waiting())
             .map(|(index, task)| (index, task.avoid))
             .collect();
-        let mut same: SecondaryMap<WorkerKey, u32> = SecondaryMap::new();
+        let mut per_worker: SecondaryMap<WorkerKey, u32> = SecondaryMap::new();
         for run in tasks.iter().flat_map(|task| &task.runs) {
             let worker = self.runs[*run].worker;
-            same.insert(worker, count(&same, worker) + 1);
+            per_worker.insert(worker, count_on(&per_worker, worker) + 1);
         }
-        let pool = self.terms(job).pool.clone();
+        let pool = self.queue_of(job).pool.clone();
         let spec = spec.clone();
-        let wanted = place::Wanted::new(&mut self.presses, &spec);
-        let (mut offers, mut misfits) = self.offers(&pool, &wanted, &same, search);
+        let request = place::PlacementRequest::new(&mut self.interference, &spec);
+        let (mut candidates, mut misfits) = self.candidates(&pool, &request, &per_worker, pass);
         for (index, avoid) in waiting {
-            let Some(worker) = cheapest(&mut offers, avoid) else {
+            let Some(worker) = cheapest(&mut candidates, avoid) else {
                 if !spec.filler && misfits.spread == 0 {
-                    search.unplaced.push((pool, spec));
+                    pass.unplaced.push((pool, spec));
                 }
-                self.note_waiting(step, search.usable.len(), misfits);
+                self.log_waiting(step, pass.usable.len(), misfits);
                 return false;
             };
-            let taken = count(&same, worker) + 1;
-            same.insert(worker, taken);
+            let same_step = count_on(&per_worker, worker) + 1;
+            per_worker.insert(worker, same_step);
             let task = TaskId {
                 job: step.job,
                 round: step.round,
                 step: step.step,
                 index,
             };
-            self.assign_task(task, worker, search.now);
-            match self.cost(worker, &wanted, taken, search.now) {
-                Ok(cost) => offers.push(Offer { cost, worker }),
-                Err(misfit) => misfits.note(misfit),
+            self.assign_task(task, worker, pass.now);
+            match self.cost(worker, &request, same_step, pass.now) {
+                Ok(cost) => candidates.push(Candidate { cost, worker }),
+                Err(misfit) => misfits.count(misfit),
             }
         }
         true
     }
 
-    /// Workers that a step can go to, and why the others cannot take it.
-    fn offers(
+    /// Workers on which a step can be placed, and the reasons against the others.
+    fn candidates(
         &mut self,
         pool: &str,
-        wanted: &place::Wanted<'_>,
-        same: &SecondaryMap<WorkerKey, u32>,
-        search: &Search,
-    ) -> (BinaryHeap<Offer>, Misfits) {
-        let mut misfits = Misfits::default();
-        let mut offers = Vec::with_capacity(search.usable.len());
-        for at in 0..search.usable.len() {
-            let worker = search.usable[at];
+        request: &place::PlacementRequest<'_>,
+        per_worker: &SecondaryMap<WorkerKey, u32>,
+        pass: &AssignPass,
+    ) -> (BinaryHeap<Candidate>, MisfitCounts) {
+        let mut misfits = MisfitCounts::default();
+        let mut candidates = Vec::with_capacity(pass.usable.len());
+        for at in 0..pass.usable.len() {
+            let worker = pass.usable[at];
             if self.workers[worker].info.pool != pool {
                 continue;
             }
-            match self.cost(worker, wanted, count(same, worker), search.now) {
-                Ok(cost) => offers.push(Offer { cost, worker }),
-                Err(misfit) => misfits.note(misfit),
+            match self.cost(worker, request, count_on(per_worker, worker), pass.now) {
+                Ok(cost) => candidates.push(Candidate { cost, worker }),
+                Err(misfit) => misfits.count(misfit),
             }
         }
-        (BinaryHeap::from(offers), misfits)
+        (BinaryHeap::from(candidates), misfits)
     }
 
-    /// Cost of one more task on a worker; its load is worked out if it is needed.
+    /// Cost of one more task on a worker; its load is computed and cached if needed.
     fn cost(
         &mut self,
         key: WorkerKey,
-        wanted: &place::Wanted<'_>,
-        same: u32,
+        request: &place::PlacementRequest<'_>,
+        same_step: u32,
         now: Monotonic,
     ) -> Result<f64, Misfit> {
         let worker = &self.workers[key];
-        place::fit(worker, wanted.step, same)?;
-        if !wanted.needs_load() {
-            return Ok(place::plain_cost(worker, wanted.step, same));
+        place::fit(worker, request.step, same_step)?;
+        if !request.needs_load() {
+            return Ok(place::plain_cost(worker, request.step, same_step));
         }
         if !self.loads.contains_key(key) {
             self.loads.insert(key, self.load(key, now));
         }
         let load = &self.loads[key];
-        place::cost(&self.workers[key], load, wanted, same, &self.presses)
+        place::load_cost(
+            &self.workers[key],
+            load,
+            request,
+            same_step,
+            &self.interference,
+        )
     }
 
-    /// Logs once why a step waits.
-    fn note_waiting(&mut self, step: &Waiting, usable: usize, misfits: Misfits) {
+    /// Logs, once for each step, why it waits.
+    fn log_waiting(&mut self, step: &Waiting, usable: usize, misfits: MisfitCounts) {
         let job = self.jobs.get_mut(&step.job);
         let Some(state) = job.and_then(|job| job.step_mut(step.round, step.step)) else {
             return;
         };
-        if std::mem::replace(&mut state.is_noted, true) {
+        if std::mem::replace(&mut state.wait_logged, true) {
             return;
         }
         let free = self
@@ -327,7 +333,7 @@
         if let Some(state) = self.task_mut(task) {
             state.runs.push(run);
         }
-        self.touch(task.job);
+        self.mark_dirty(task.job);
         self.runs[run].recorded_in = self.jobs.get(&task.job).map_or(0, |job| job.version);
         Entry::new(Kind::Placed)
             .with_text("task", task)
--- a/crates/verbenahitch/src/dispatch/commit.rs
+++ b/crates/verbenahitch/src/dispatch/commit.rs
@@ -1,4 +1,4 @@
-//! What the store is told, and what its acknowledgement allows.
+//! Records for the store, and the effects of their commit.
 
 use super::report::{ProgressRecord, RunRecord, TaskRecord, Write};
 use super::table::Job;
@@ -7,7 +7,7 @@
 use crate::event::{Entry, Kind};
 
 impl Dispatcher {
-    /// Takes up to `limit` records that have changed; none while others are under way.
+    /// Takes up to `limit` changed records to write; none while a write is in progress.
     pub fn take_writes(&mut self, limit: usize) -> Vec<Write> {
         if !self.writing.is_empty() || self.is_fenced {
             return Vec::new();
@@ -22,7 +22,7 @@
             let write = Write {
                 job: id,
                 version: job.version,
-                record: self.progress(job),
+                record: self.progress_record(job),
             };
             self.writing.insert(id, write.version);
             if let Some(job) = self.jobs.get_mut(&id) {
@@ -33,7 +33,7 @@
         writes
     }
 
-    fn progress(&self, job: &Job) -> ProgressRecord {
+    fn progress_record(&self, job: &Job) -> ProgressRecord {
         let mut tasks = Vec::new();
         for round in &job.rounds {
             for (step, (state, _)) in (0u32..).zip(round.steps.iter().zip(&job.record.spec.steps)) {
@@ -64,16 +64,16 @@
         }
     }
 
-    /// Notes that the store holds the records under way.
+    /// Records that the store holds the last taken writes.
     pub fn written(&mut self, now: Monotonic) {
         let written = std::mem::take(&mut self.writing);
         for (id, version) in written {
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            job.written = version;
-            if job.version == version && job.shown != job.state {
-                job.shown = job.state;
+            job.stored_version = version;
+            if job.version == version && job.visible_state != job.state {
+                job.visible_state = job.state;
                 if job.state.is_final() {
                     Entry::new(Kind::JobFinished)
                         .with_text("job", id)
@@ -82,11 +82,11 @@
                 }
             }
             self.release_recorded(id, version, now);
-            self.close(id);
+            self.close_if_ended(id);
         }
     }
 
-    /// Lets runs start whose assignment the store holds.
+    /// Lets the runs start whose assignment the store holds.
     fn release_recorded(&mut self, id: JobId, version: u64, now: Monotonic) {
         let Some(job) = self.jobs.get(&id) else {
             return;
@@ -95,22 +95,22 @@
             let run = &mut self.runs[key];
             if run.phase == Phase::Recording && run.recorded_in <= version {
                 run.phase = Phase::Starting;
-                run.started = now;
-                run.moved_at = now;
-                self.due.insert(key);
+                run.started_at = now;
+                run.progressed_at = now;
+                self.due_runs.insert(key);
             }
         }
     }
 
-    /// Forgets the particulars of a job that has ended, once the store holds its end.
-    pub(super) fn close(&mut self, id: JobId) {
+    /// Drops the details of a job once the store holds its end and no run is left.
+    pub(super) fn close_if_ended(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        if job.shown.is_final() && job.is_idle() && job.written == job.version {
+        if job.visible_state.is_final() && job.is_idle() && job.stored_version == job.version {
             job.rounds.clear();
             job.record.spec.steps.clear();
-            self.open.remove(&id);
+            self.open_jobs.remove(&id);
         }
     }
 }
--- a/crates/verbenahitch/src/dispatch/ends.rs
+++ b/crates/verbenahitch/src/dispatch/ends.rs
@@ -1,4 +1,4 @@
-//! Ends of runs and answers to orders.
+//! Registry changes, answers to orders, and ends of runs.
 
 use super::report::{CallFailure, EndCause};
 use super::table::Task;
@@ -8,19 +8,19 @@
     Worker, health, place,
 };
 
-/// Pause before an order without an answer is repeated, in milliseconds.
-const REPEAT_MS: Millis = 60;
+/// Pause before an unanswered order is sent again, in milliseconds.
+const RESEND_MS: Millis = 60;
 
-/// Pause before an order is repeated that a worker cannot carry out now, in milliseconds.
-const UNWILLING_MS: Millis = 250;
+/// Pause before a refused order is sent again, in milliseconds.
+const REFUSED_PAUSE_MS: Millis = 250;
 
 impl Dispatcher {
-    /// Takes in an entry of the registry.
+    /// Applies a new or changed registry entry.
     pub fn list_worker(&mut self, info: WorkerInfo, now: Monotonic) {
-        let Some(&key) = self.names.get(&info.name) else {
+        let Some(&key) = self.worker_keys.get(&info.name) else {
             let name = info.name.clone();
             let key = self.workers.insert(Worker::new(info));
-            self.names.insert(name, key);
+            self.worker_keys.insert(name, key);
             return;
         };
         self.unlisted.remove(&key);
@@ -33,21 +33,21 @@
                 .emit();
         }
         if worker.info.address != info.address {
-            worker.next_look = now;
+            worker.next_poll = now;
         }
         let born = worker.info.born;
         worker.info = info;
-        // The life that answers the looks counts, not the one in the registry.
+        // The incarnation that answers the polls counts, not the one in the registry.
         if born != 0 && worker.clock.is_some() {
             worker.info.born = born;
         }
         if self.workers[key].info.draining {
-            self.leave(key);
+            self.stop_standing(key);
         }
     }
 
-    /// Moves standing tasks off a worker that is about to leave.
-    fn leave(&mut self, key: WorkerKey) {
+    /// Stops the standing tasks of a draining worker, so that they start elsewhere.
+    fn stop_standing(&mut self, key: WorkerKey) {
         let runs: Vec<RunKey> = self.workers[key].runs.iter().copied().collect();
         for run in runs {
             let task = self.runs[run].task;
@@ -57,9 +57,9 @@
         }
     }
 
-    /// Takes in that an entry of the registry is gone.
+    /// Applies the removal of a registry entry.
     pub fn unlist_worker(&mut self, name: &str, now: Monotonic) {
-        let Some(&key) = self.names.get(name) else {
+        let Some(&key) = self.worker_keys.get(name) else {
             return;
         };
         let worker = &mut self.workers[key];
@@ -71,18 +71,18 @@
             .emit();
     }
 
-    /// Takes in the answer to a start.
+    /// Applies the answer to a start.
     pub fn started(&mut self, key: RunKey, result: Result<Millis, CallFailure>, now: Monotonic) {
         let Some(run) = self.runs.get_mut(key) else {
             return;
         };
-        run.busy = false;
+        run.in_flight = false;
         let (worker, tries, id) = (run.worker, run.tries, run.task.job);
         match result {
             Ok(clock_ms) => {
                 run.phase = Phase::Live;
-                run.confirmed = Some(now);
-                run.moved_at = now;
+                run.confirmed_at = Some(now);
+                run.progressed_at = now;
                 run.pace = 100;
                 self.loads.remove(worker);
                 self.workers[worker].read_clock(clock_ms, now);
@@ -90,12 +90,15 @@
             }
             Err(CallFailure::Fenced) => self.is_fenced = true,
             Err(CallFailure::Late) => {
-                run.retry_at = now + REPEAT_MS;
-                self.workers[worker].next_look = now;
+                run.retry_at = now + RESEND_MS;
+                self.workers[worker].next_poll = now;
             }
             Err(CallFailure::Unanswered(cause)) => {
-                run.retry_at = now + REPEAT_MS;
-                log::debug!("start of {} not answered: {cause}", run.task);
+                run.retry_at = now + RESEND_MS;
+                log::debug!(
+                    "worker did not answer the start of task {}: {cause}",
+                    run.task
+                );
             }
             Err(failure) => {
                 Entry::new(Kind::TaskRequeued)
@@ -104,40 +107,40 @@
                     .with("worker", &self.workers[worker].info.name)
                     .with_text("cause", format!("{failure:?}"))
                     .emit();
-                run.retry_at = now + UNWILLING_MS;
-                // An earlier try without an answer may still be carried out.
+                run.retry_at = now + REFUSED_PAUSE_MS;
+                // If an earlier attempt went unanswered, it may still be carried out.
                 self.stop_run(key);
-                let is_clear = tries == 1;
-                self.shun(worker, now);
-                if is_clear {
-                    self.end(key, EndCause::Stopped, "", now);
+                let is_first_try = tries == 1;
+                self.order_refused(worker, now);
+                if is_first_try {
+                    self.end_run(key, EndCause::Stopped, "", now);
                 }
             }
         }
     }
 
-    /// Takes in the answer to a stop.
+    /// Applies the answer to a stop.
     pub fn stopped(&mut self, key: RunKey, result: Result<Millis, CallFailure>, now: Monotonic) {
         let Some(run) = self.runs.get_mut(key) else {
             return;
         };
-        run.busy = false;
+        run.in_flight = false;
         match result {
             Ok(_) => {
-                run.stopped = Some(now);
-                run.confirmed.get_or_insert(now);
+                run.stopped_at = Some(now);
+                run.confirmed_at.get_or_insert(now);
                 let worker = run.worker;
-                self.workers[worker].next_look = now;
+                self.workers[worker].next_poll = now;
             }
             Err(CallFailure::Fenced) => self.is_fenced = true,
             Err(failure) => {
-                run.retry_at = now + UNWILLING_MS;
-                log::debug!("stop of {}: {failure:?}", run.task);
+                run.retry_at = now + REFUSED_PAUSE_MS;
+                log::debug!("stop order for task {} failed: {failure:?}", run.task);
             }
         }
     }
 
-    /// Takes in the answer to a change of pace.
+    /// Applies the answer to a change of pace.
     pub fn paced(
         &mut self,
         key: RunKey,
@@ -148,21 +151,21 @@
         let Some(run) = self.runs.get_mut(key) else {
             return;
         };
-        run.busy = false;
+        run.in_flight = false;
         match result {
             Ok(_) => {
                 run.pace = percent;
-                run.moved_at = now;
+                run.progressed_at = now;
             }
             Err(CallFailure::Fenced) => self.is_fenced = true,
             Err(failure) => {
-                run.retry_at = now + REPEAT_MS;
-                log::debug!("pace of {}: {failure:?}", run.task);
+                run.retry_at = now + RESEND_MS;
+                log::debug!("pace order for task {} failed: {failure:?}", run.task);
             }
         }
     }
 
-    /// Accounts for a run on a worker.
+    /// Adds a run and commits its resources on its worker.
     pub(super) fn insert_run(
         &mut self,
         task: TaskId,
@@ -170,38 +173,38 @@
         worker: WorkerKey,
         now: Monotonic,
     ) -> RunKey {
-        // A run that nothing is known of takes nothing.
+        // A run of an unknown step commits nothing.
         let spec = self.spec_of(task).cloned().unwrap_or_default();
         let amount = place::committed(&spec);
-        let filling = if spec.filler {
+        let filler_milli = if spec.filler {
             spec.amount.cpu_milli
         } else {
             0
         };
-        let image = self.presses.image(&spec.image);
+        let image = self.interference.image_id(&spec.image);
         let key = self.runs.insert(Run {
             task,
             image,
             number,
             worker,
             amount,
-            filling,
+            filler_milli,
             standing: spec.standing,
             target_ms: spec.target_ms,
             phase: Phase::Recording,
             recorded_in: 0,
-            confirmed: None,
+            confirmed_at: None,
             inherited: false,
-            stop: false,
-            stopped: None,
-            busy: false,
+            stop_wanted: false,
+            stopped_at: None,
+            in_flight: false,
             retry_at: now,
             tries: 0,
-            started: now,
+            started_at: now,
             resumed: false,
-            percent: 0,
+            progress: 0,
             seen_at: now,
-            moved_at: now,
+            progressed_at: now,
             pace: 100,
             wanted_pace: 100,
             tail_ms: 0,
@@ -209,40 +212,47 @@
         self.loads.remove(worker);
         let state = &mut self.workers[worker];
         state.committed.add(amount);
-        state.filling += filling;
+        state.filler_milli += filler_milli;
         if state.runs.is_empty() {
-            state.next_look = state.next_look.min(now);
+            state.next_poll = state.next_poll.min(now);
         }
         state.runs.insert(key);
         key
     }
 
-    /// Has a run stopped by its worker.
+    /// Marks a run to be stopped by its worker.
     pub(super) fn stop_run(&mut self, key: RunKey) {
-        self.runs[key].stop = true;
-        self.due.insert(key);
+        self.runs[key].stop_wanted = true;
+        self.due_runs.insert(key);
     }
 
-    /// Ends a run: frees its room and decides on its task.
-    pub(super) fn end(&mut self, key: RunKey, cause: EndCause, checkpoint: &str, now: Monotonic) {
+    /// Removes an ended run, frees its resources and updates its task and job.
+    pub(super) fn end_run(
+        &mut self,
+        key: RunKey,
+        cause: EndCause,
+        checkpoint: &str,
+        now: Monotonic,
+    ) {
         let Some(run) = self.runs.remove(key) else {
             return;
         };
-        self.has_news = true;
+        self.assign_needed = true;
         self.loads.remove(run.worker);
         let worker = &mut self.workers[run.worker];
         worker.runs.remove(&key);
         worker.committed.remove(run.amount);
-        worker.filling = worker.filling.saturating_sub(run.filling);
-        if run.filling > 0 {
-            worker.relief.changed = Some(now);
+        worker.filler_milli = worker.filler_milli.saturating_sub(run.filler_milli);
+        if run.filler_milli > 0 {
+            worker.mitigation.changed_at = Some(now);
         }
         let name = worker.info.name.clone();
         if cause == EndCause::Done {
-            health::done(worker);
+            health::run_done(worker);
         }
-        let is_sick = cause == EndCause::Failed && health::failed(worker, run.task.job, now);
-        if is_sick {
+        let is_quarantined =
+            cause == EndCause::Failed && health::run_failed(worker, run.task.job, now);
+        if is_quarantined {
             Entry::new(Kind::WorkerQuarantined)
                 .with("worker", &name)
                 .emit();
@@ -253,11 +263,11 @@
             .with("worker", name)
             .with("cause", cause)
             .emit();
-        self.settle(&run, key, cause, checkpoint, now);
+        self.apply_end(&run, key, cause, checkpoint, now);
     }
 
     /// Applies the end of a run to its task and job.
-    fn settle(
+    fn apply_end(
         &mut self,
         run: &Run,
         key: RunKey,
@@ -269,11 +279,11 @@
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        let attempts = self.terms(job).attempts;
+        let attempts = self.queue_of(job).attempts;
         let spec = job.step_spec(run.task.step);
         let is_standing = spec.is_some_and(|spec| spec.standing);
         let Some(task) = self.task_mut(run.task) else {
-            self.close(id);
+            self.close_if_ended(id);
             return;
         };
         task.runs.retain(|other| *other != key);
@@ -289,10 +299,10 @@
             }
             _ => {}
         }
-        let is_new = task.done && !was_done;
+        let is_newly_done = task.done && !was_done;
         task.wants_copy = false;
-        let is_lost = !is_standing && !task.done && task.failed >= attempts;
-        let others = if is_new {
+        let is_exhausted = !is_standing && !task.done && task.failed >= attempts;
+        let others = if is_newly_done {
             task.runs.clone()
         } else {
             Vec::new()
@@ -300,24 +310,24 @@
         for other in others {
             self.stop_run(other);
         }
-        if is_new {
-            self.step_done(run, now);
-        } else if is_lost {
-            self.fail(id, now);
+        if is_newly_done {
+            self.task_done(run, now);
+        } else if is_exhausted {
+            self.fail_job(id, now);
         }
         self.pending.insert(id);
-        self.touch(id);
+        self.mark_dirty(id);
     }
 
-    fn step_done(&mut self, run: &Run, now: Monotonic) {
+    fn task_done(&mut self, run: &Run, now: Monotonic) {
         let task = run.task;
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
         if let Some(step) = job.step_mut(task.round, task.step) {
-            step.left = step.left.saturating_sub(1);
+            step.undone = step.undone.saturating_sub(1);
             if !run.resumed && run.wanted_pace == 100 {
-                step.durations.push(now.since(run.started));
+                step.durations.push(now.since(run.started_at));
             }
         }
         let is_done = job.begun == job.times() && job.rounds.iter().all(super::Round::is_done);
@@ -326,16 +336,16 @@
         }
     }
 
-    fn fail(&mut self, id: JobId, now: Monotonic) {
+    fn fail_job(&mut self, id: JobId, now: Monotonic) {
         let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.state.is_final()) else {
             return;
         };
         job.state = JobState::Failed;
-        self.stop_all(id, now);
+        self.stop_job(id, now);
     }
 
-    /// Stops everything of a job.
-    pub(super) fn stop_all(&mut self, id: JobId, now: Monotonic) {
+    /// Stops all runs of a job.
+    pub(super) fn stop_job(&mut self, id: JobId, now: Monotonic) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
@@ -344,15 +354,15 @@
             self.stop_run(key);
             let run = &mut self.runs[key];
             run.retry_at = now;
-            // What was never ordered has nothing to stop.
+            // A run whose start was never ordered needs no stop order.
             let is_ordered = run.phase == Phase::Live || run.tries > 0;
             if !is_ordered {
-                self.end(key, EndCause::Stopped, "", now);
+                self.end_run(key, EndCause::Stopped, "", now);
             }
         }
     }
 
-    /// Notes that some task of a job has started.
+    /// Records that a task of a job has started.
     pub(super) fn mark_started(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -360,16 +370,16 @@
         job.has_started = true;
         if job.state == JobState::Queued {
             job.state = JobState::Running;
-            job.shown = JobState::Running;
+            job.visible_state = JobState::Running;
         }
     }
 
-    /// Declaration of the step that a task belongs to.
+    /// Specification of the step that a task belongs to.
     pub(super) fn spec_of(&self, task: TaskId) -> Option<&StepSpec> {
         self.jobs.get(&task.job)?.step_spec(task.step)
     }
 
-    /// Task, if its job is in progress.
+    /// Task, if its round has begun.
     pub(super) fn task_mut(&mut self, task: TaskId) -> Option<&mut Task> {
         self.jobs
             .get_mut(&task.job)?
--- a/crates/verbenahitch/src/dispatch/health.rs
+++ b/crates/verbenahitch/src/dispatch/health.rs
@@ -1,78 +1,78 @@
-//! Workers to keep away from.
+//! Quarantine of workers.
 //!
-//! Load pattern: a worker that fails all it starts looks idle and would be given
-//! more and more; a job that can never be done fails on every worker. Failures
-//! of different jobs in a row tell the first from the second.
+//! Load pattern: a worker that fails every run looks idle and would be given more
+//! and more tasks; a faulty job fails on every worker. Failures of different jobs
+//! in a row indicate a faulty worker.
 //!
-//! Inputs: ends, as old as the last look.
+//! Inputs: ended and stalled runs, as old as the last poll, and refused orders.
 
 use super::job::JobId;
 use super::worker::Worker;
 use crate::domain::{Millis, Monotonic};
 
-/// Failures of different jobs in a row after which a worker is shunned.
-const FAILURES: u32 = 2;
+/// Failures of different jobs in a row after which a worker is quarantined.
+const QUARANTINE_FAILURES: u32 = 2;
 
-/// How long a worker that fails is shunned, in milliseconds. Short of the time
-/// that such troubles last, so that its return is noticed.
-const SHUN_FAILING_MS: Millis = 3_000;
+/// Quarantine of a worker that fails its runs, in milliseconds. Shorter than such
+/// faults last, so that the recovery of the worker is noticed soon.
+const FAILING_QUARANTINE_MS: Millis = 3_000;
 
-/// How long a worker that refused or lost an order is shunned, in milliseconds.
-const SHUN_REFUSING_MS: Millis = 700;
+/// Quarantine of a worker that refused an order or did not get it, in milliseconds.
+const REFUSAL_QUARANTINE_MS: Millis = 700;
 
-/// How long a worker on which tasks stand still is shunned, in milliseconds.
-const SHUN_HANGING_MS: Millis = 4_000;
+/// Quarantine of a worker with a stalled run, in milliseconds.
+const STALL_QUARANTINE_MS: Millis = 4_000;
 
-/// How long a worker that slows tasks of several jobs is shunned, in milliseconds.
-const SHUN_SLOW_MS: Millis = 2_500;
+/// Quarantine of a worker on which runs of several jobs are slow, in milliseconds.
+const SLOW_QUARANTINE_MS: Millis = 2_500;
 
-/// Time within which slow tasks of two jobs tell of a slow worker, in milliseconds.
-const SLOW_MEMORY_MS: Millis = 4_000;
+/// Time within which slow runs of two jobs indicate a slow worker, in milliseconds.
+const SLOW_WINDOW_MS: Millis = 4_000;
 
-/// Time without progress after which a run hangs, in milliseconds. A run that is
-/// slowed eight times still moves by a percent in this time.
-pub(super) const HANG_MS: Millis = 1_500;
+/// Time without progress after which a run counts as stalled, in milliseconds. A run
+/// that is slowed down eightfold still progresses by one percent in this time.
+pub(super) const STALL_MS: Millis = 1_500;
 
-/// Notes a run that failed; whether the worker is shunned for it.
-pub(super) fn failed(worker: &mut Worker, job: JobId, now: Monotonic) -> bool {
-    if worker.last_failure != Some(job) {
+/// Records a failed run; returns whether the worker is quarantined for it.
+pub(super) fn run_failed(worker: &mut Worker, job: JobId, now: Monotonic) -> bool {
+    if worker.failed_job != Some(job) {
         worker.failures += 1;
-        worker.last_failure = Some(job);
+        worker.failed_job = Some(job);
     }
-    let is_sick = worker.failures >= FAILURES;
-    if is_sick {
-        shun(worker, now + SHUN_FAILING_MS);
+    let is_faulty = worker.failures >= QUARANTINE_FAILURES;
+    if is_faulty {
+        quarantine(worker, now + FAILING_QUARANTINE_MS);
     }
-    is_sick
+    is_faulty
 }
 
-/// Notes a run that was done.
-pub(super) fn done(worker: &mut Worker) {
+/// Records a completed run.
+pub(super) fn run_done(worker: &mut Worker) {
     worker.failures = 0;
-    worker.last_failure = None;
+    worker.failed_job = None;
 }
 
-/// Notes an order that the worker refused or did not get.
-pub(super) fn refused(worker: &mut Worker, now: Monotonic) {
-    shun(worker, now + SHUN_REFUSING_MS);
+/// Records an order that the worker refused or did not get.
+pub(super) fn order_refused(worker: &mut Worker, now: Monotonic) {
+    quarantine(worker, now + REFUSAL_QUARANTINE_MS);
 }
 
-/// Notes a run that made no progress.
-pub(super) fn hung(worker: &mut Worker, now: Monotonic) {
-    shun(worker, now + SHUN_HANGING_MS);
+/// Records a stalled run.
+pub(super) fn run_stalled(worker: &mut Worker, now: Monotonic) {
+    quarantine(worker, now + STALL_QUARANTINE_MS);
 }
 
-/// Notes a run that was far slower than its peers.
-pub(super) fn slow(worker: &mut Worker, job: JobId, now: Monotonic) {
-    let is_new = worker.last_slow != Some(job);
-    worker.last_slow = Some(job);
-    let is_lasting = now.since(worker.slow_at) < SLOW_MEMORY_MS;
-    if is_new && is_lasting && worker.slow_at != Monotonic::default() {
-        shun(worker, now + SHUN_SLOW_MS);
+/// Records a run that was far slower than its peers.
+pub(super) fn run_slow(worker: &mut Worker, job: JobId, now: Monotonic) {
+    let is_other_job = worker.slow_job != Some(job);
+    worker.slow_job = Some(job);
+    let is_recent = now.since(worker.slow_at) < SLOW_WINDOW_MS;
+    if is_other_job && is_recent && worker.slow_at != Monotonic::default() {
+        quarantine(worker, now + SLOW_QUARANTINE_MS);
     }
     worker.slow_at = now;
 }
 
-fn shun(worker: &mut Worker, until: Monotonic) {
-    worker.shunned_until = worker.shunned_until.max(until);
+fn quarantine(worker: &mut Worker, until: Monotonic) {
+    worker.quarantined_until = worker.quarantined_until.max(until);
 }
--- a/crates/verbenahitch/src/dispatch/job.rs
+++ b/crates/verbenahitch/src/dispatch/job.rs
@@ -1,4 +1,4 @@
-//! Jobs as callers submit them: steps of equal tasks, ordered by dependencies.
+//! Jobs as callers submit them: steps of identical tasks, ordered by dependencies.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,10 +9,10 @@
 
 use crate::domain::Millis;
 
-/// Most tasks that one step may have.
+/// Maximum number of tasks of a step.
 const MAX_TASKS: u32 = 10_000;
 
-/// Most steps that one job may have.
+/// Maximum number of steps of a job.
 const MAX_STEPS: usize = 1_000;
 
 /// Identifier of a job, chosen by its caller.
@@ -26,17 +26,17 @@
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Default,
 )]
 pub struct TaskId {
-    /// Job.
+    /// Job that it belongs to.
     pub job: JobId,
     /// Repetition of the job, from zero.
     pub round: u32,
-    /// Step of the job, from zero.
+    /// Index of the step in the job, from zero.
     pub step: u32,
-    /// Task of the step, from zero.
+    /// Index of the task in the step, from zero.
     pub index: u32,
 }
 
-/// The text names no job or task.
+/// Text that is no identifier of a job or task.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("`{text}` is not an identifier"))]
 pub struct IdError {
@@ -96,7 +96,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case")]
 pub struct Amount {
-    /// Processors in thousandths of a core.
+    /// CPU in thousandths of a core.
     pub cpu_milli: u64,
     /// Memory in MB.
     pub memory_mb: u64,
@@ -119,12 +119,12 @@
         self.gpus += other.gpus;
     }
 
-    /// Takes `other` away, not below zero.
+    /// Subtracts `other`, not below zero.
     pub fn remove(&mut self, other: Self) {
         *self = self.less(other);
     }
 
-    /// What is left of `self` without `other`, not below zero.
+    /// Difference of `self` and `other`, not below zero.
     pub fn less(self, other: Self) -> Self {
         Self {
             cpu_milli: self.cpu_milli.saturating_sub(other.cpu_milli),
@@ -134,29 +134,29 @@
     }
 }
 
-/// Tasks of one step: all of the same size.
+/// Step of a job: identical tasks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case")]
 pub struct StepSpec {
-    /// Tasks.
+    /// Number of tasks.
     #[serde(skip_serializing_if = "is_default")]
     pub count: u32,
-    /// What each task commits.
+    /// Resources of each task.
     #[serde(skip_serializing_if = "is_default")]
     pub amount: Amount,
-    /// Declared run time of a task in milliseconds, often far off.
+    /// Declared run time of a task in milliseconds; often far from the actual one.
     #[serde(skip_serializing_if = "is_default")]
     pub estimate_ms: Millis,
-    /// Earlier steps whose tasks must be done first.
+    /// Indexes of earlier steps whose tasks must be done first.
     #[serde(skip_serializing_if = "is_default")]
     pub after: Vec<u32>,
     /// Whether the tasks write checkpoints.
     #[serde(skip_serializing_if = "is_default")]
     pub checkpoints: bool,
-    /// Whether the tasks work only all together.
+    /// Whether the tasks can only work while all of them run.
     #[serde(skip_serializing_if = "is_default")]
     pub gang: bool,
-    /// Whether the tasks are slowed when they run on several racks.
+    /// Whether the tasks slow down when they are spread over several racks.
     #[serde(skip_serializing_if = "is_default")]
     pub tight: bool,
     /// Label that the worker must have, empty for none.
@@ -165,25 +165,25 @@
     /// Rack of the data, empty for none.
     #[serde(skip_serializing_if = "is_default")]
     pub rack: String,
-    /// Most tasks of the step on one worker, zero for no limit.
+    /// Maximum number of tasks of the step on one worker, zero for no limit.
     #[serde(skip_serializing_if = "is_default")]
     pub spread: u32,
-    /// Whether several runs of one task may race.
+    /// Whether a task may have two runs at once, of which the first to complete counts.
     #[serde(skip_serializing_if = "is_default")]
     pub speculative: bool,
     /// Whether the tasks run until the job is cancelled.
     #[serde(skip_serializing_if = "is_default")]
     pub standing: bool,
-    /// What the tasks run; tasks of one image behave alike.
+    /// Image that the tasks run; tasks of one image behave alike.
     #[serde(skip_serializing_if = "is_default")]
     pub image: String,
-    /// Limit of the tail latency of a standing task in milliseconds, zero for none.
+    /// Target of the tail latency of a standing task in milliseconds, zero for none.
     #[serde(skip_serializing_if = "is_default")]
     pub target_ms: Millis,
-    /// Whether the tasks run on processor time that others leave idle.
+    /// Whether the tasks run on CPU time that other tasks leave idle.
     #[serde(skip_serializing_if = "is_default")]
     pub filler: bool,
-    /// Standing tasks that may be away at once for planned reasons.
+    /// Number of standing tasks that may be down at once for planned reasons.
     #[serde(skip_serializing_if = "is_default")]
     pub may_miss: u32,
 }
@@ -192,11 +192,11 @@
     *value == T::default()
 }
 
-/// Times at which the steps of a job run again.
+/// Schedule of a job whose steps run repeatedly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Repeat {
-    /// How many times.
+    /// Number of repetitions.
     pub times: u32,
     /// First due time in milliseconds since the Unix epoch.
     pub first_ms: Millis,
@@ -204,7 +204,7 @@
     pub interval_ms: Millis,
 }
 
-/// What a caller submits.
+/// Job that a caller submits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct JobSpec {
@@ -212,44 +212,44 @@
     pub payload: Arc<str>,
     /// Steps.
     pub steps: Vec<StepSpec>,
-    /// Due times; none runs once, at once.
+    /// Schedule; without one the job runs once, immediately.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub repeat: Option<Repeat>,
 }
 
-/// Why a job can never run.
+/// Reason why a submitted job is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum SpecError {
-    /// Nothing to do.
+    /// A job without steps or with too many.
     #[snafu(display("a job needs between 1 and {MAX_STEPS} steps, this one has {steps}"))]
     Steps {
         /// Steps given.
         steps: usize,
     },
     /// A step without tasks or with too many.
-    #[snafu(display("step {step} has {count} tasks, allowed are 1 to {MAX_TASKS}"))]
+    #[snafu(display("step {step} has {count} tasks, but must have between 1 and {MAX_TASKS}"))]
     Count {
-        /// Step.
+        /// Index of the step.
         step: usize,
         /// Tasks given.
         count: u32,
     },
-    /// A dependency that can never be met.
-    #[snafu(display("step {step} waits for step {on}, which is not an earlier one"))]
+    /// A dependency on a step that is not an earlier one.
+    #[snafu(display("step {step} depends on step {on}, but may only depend on earlier steps"))]
     Order {
-        /// Step.
+        /// Index of the step.
         step: usize,
-        /// What it waits for.
+        /// Index of the step that it depends on.
         on: u32,
     },
 }
 
 impl JobSpec {
-    /// Checks what does not depend on workers.
+    /// Checks the numbers of steps and tasks, and the dependencies.
     ///
     /// # Errors
     ///
-    /// When no worker could ever finish the job.
+    /// When the job is invalid, whatever workers there are.
     pub fn check(&self) -> Result<(), SpecError> {
         if self.steps.is_empty() || self.steps.len() > MAX_STEPS {
             let steps = self.steps.len();
@@ -269,7 +269,7 @@
     }
 }
 
-/// Terms under which a queue runs its jobs.
+/// Queue, with the rules for its jobs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Queue {
@@ -277,29 +277,30 @@
     pub name: String,
     /// Pool of workers that run its tasks.
     pub pool: String,
-    /// Rank among queues, zero first.
+    /// Priority among queues; zero is the highest.
     pub priority: u32,
-    /// Failed runs of a task after which its job has failed.
+    /// Number of failed runs of one task after which its job fails.
     pub attempts: u32,
-    /// Objective as a multiple of the longest chain of work.
+    /// Factor of the critical path in the completion objective.
     pub stretch: f64,
-    /// Constant part of the objective in milliseconds.
+    /// Constant part of the completion objective in milliseconds.
     pub target_ms: Millis,
 }
 
-/// A job as the store keeps it until it has ended.
+/// Record of a job in the store until the job has ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct JobRecord {
-    /// Terms at the time of acceptance.
+    /// Queue as declared at acceptance.
     pub queue: Queue,
-    /// What was submitted.
+    /// Job as submitted.
     pub spec: JobSpec,
-    /// Acceptance in milliseconds since the Unix epoch, by the accepting host.
+    /// Time of acceptance in milliseconds since the Unix epoch, by the accepting host's
+    /// clock.
     pub accepted_ms: Millis,
 }
 
-/// How a job stands.
+/// State of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum JobState {
@@ -307,16 +308,16 @@
     Queued,
     /// Some task has started.
     Running,
-    /// Every task has ended well.
+    /// Every task is done.
     Completed,
-    /// A task has used up its attempts.
+    /// A task has failed as often as its queue allows.
     Failed,
-    /// The caller has cancelled it.
+    /// It was cancelled.
     Cancelled,
 }
 
 impl JobState {
-    /// Whether nothing of the job will start any more.
+    /// Whether no task of the job will be started any more.
     pub fn is_final(self) -> bool {
         match self {
             Self::Queued | Self::Running => false,
--- a/crates/verbenahitch/src/dispatch/relief.rs
+++ b/crates/verbenahitch/src/dispatch/mitigation.rs
@@ -1,36 +1,38 @@
-//! What runs beside what on a worker, and what is done about it.
+//! Interference on a worker: observation of its tails, mitigation, and the load that
+//! placement takes into account.
 
-use super::looks::AT_WORK;
-use super::press::{Act, Filler, ImageId, Serving};
+use super::interference::{Action, Filler, ImageId, ServingTask};
+use super::polls::SERVING_PERCENT;
 use super::worker::{Run, WorkerKey};
 use super::{Dispatcher, Entry, Kind, Millis, Monotonic, Phase, place};
 
-/// Time in which a tail or a new filler shows in a worker's figures, in milliseconds.
+/// Time that a worker's tails cover, after which a new filler shows in them, in
+/// milliseconds.
 const OBSERVE_MS: Millis = 500;
 
 impl Dispatcher {
-    /// Relieves the standing tasks of a worker from the fillers beside them.
-    pub(super) fn relieve(&mut self, key: WorkerKey, now: Monotonic) {
-        let (serving, fillers) = self.neighbours(key, now);
+    /// Moves or throttles the fillers that slow the standing tasks of a worker.
+    pub(super) fn mitigate(&mut self, key: WorkerKey, now: Monotonic) {
+        let (serving, fillers) = self.colocated_tasks(key, now);
         if fillers.is_empty() {
             return;
         }
         let worker = &mut self.workers[key];
         let is_settled =
-            !worker.relief.is_settling(now) && fillers.iter().all(|filler| filler.is_settled);
-        if is_settled && now.since(worker.observed) >= OBSERVE_MS {
-            worker.observed = now;
+            !worker.mitigation.is_settling(now) && fillers.iter().all(|filler| filler.is_settled);
+        if is_settled && now.since(worker.observed_at) >= OBSERVE_MS {
+            worker.observed_at = now;
             for task in &serving {
-                self.presses.observe(*task, &fillers);
+                self.interference.observe(*task, &fillers);
             }
         }
-        let acts = self
-            .presses
-            .relieve(&mut worker.relief, &serving, &fillers, now);
-        for act in acts {
-            let (run, percent) = match act {
-                Act::Move(run) => (run, None),
-                Act::Pace(run, percent) => (run, Some(percent)),
+        let actions = self
+            .interference
+            .mitigate(&mut worker.mitigation, &serving, &fillers, now);
+        for action in actions {
+            let (run, percent) = match action {
+                Action::Move(run) => (run, None),
+                Action::Pace(run, percent) => (run, Some(percent)),
             };
             let worst = serving.iter().map(|task| task.ratio).fold(0.0, f64::max);
             let state = &mut self.runs[run];
@@ -43,15 +45,15 @@
             match percent {
                 Some(percent) => {
                     state.wanted_pace = percent;
-                    self.due.insert(run);
+                    self.due_runs.insert(run);
                 }
                 None => self.restart_elsewhere(run),
             }
         }
     }
 
-    /// Standing tasks with a target, and fillers, at work on a worker.
-    fn neighbours(&self, key: WorkerKey, now: Monotonic) -> (Vec<Serving>, Vec<Filler>) {
+    /// Standing tasks with a target, and fillers, that are running on a worker.
+    fn colocated_tasks(&self, key: WorkerKey, now: Monotonic) -> (Vec<ServingTask>, Vec<Filler>) {
         let (mut serving, mut fillers) = (Vec::new(), Vec::new());
         let capacity = self.workers[key].info.capacity.cpu_milli;
         for &run_key in &self.workers[key].runs {
@@ -59,7 +61,7 @@
             let Some(spec) = self.spec_of(run.task) else {
                 continue;
             };
-            if run.stop || run.phase != Phase::Live {
+            if run.stop_wanted || run.phase != Phase::Live {
                 continue;
             }
             if spec.filler {
@@ -68,12 +70,12 @@
                     image: run.image,
                     share: place::share_of(spec.amount.cpu_milli, capacity),
                     pace: run.wanted_pace,
-                    percent: run.percent,
+                    progress: run.progress,
                     checkpoints: spec.checkpoints,
-                    is_settled: now.since(run.started) >= OBSERVE_MS,
+                    is_settled: now.since(run.started_at) >= OBSERVE_MS,
                 });
-            } else if let Some(ratio) = ratio_of(run) {
-                serving.push(Serving {
+            } else if let Some(ratio) = tail_ratio(run) {
+                serving.push(ServingTask {
                     image: run.image,
                     ratio,
                 });
@@ -82,52 +84,52 @@
         (serving, fillers)
     }
 
-    /// Load of a worker for the choice of a place.
+    /// Load of a worker for placement.
     pub(super) fn load(&self, key: WorkerKey, now: Monotonic) -> place::Load {
         let mut load = place::Load::default();
-        let mut unseen = Vec::new();
+        let mut unobserved = Vec::new();
         let worker = &self.workers[key];
         let capacity = worker.info.capacity.cpu_milli;
         for run in worker.runs.iter().map(|run| &self.runs[*run]) {
             if run.standing {
-                load.standing += run.amount.cpu_milli;
+                load.standing_milli += run.amount.cpu_milli;
             }
-            if run.filling > 0 {
-                let share = place::share_of(run.filling, capacity);
+            if run.filler_milli > 0 {
+                let share = place::share_of(run.filler_milli, capacity);
                 load.fillers.push((run.image, share));
-                if now.since(run.started) < OBSERVE_MS || run.phase != Phase::Live {
-                    unseen.push((run.image, share));
+                if now.since(run.started_at) < OBSERVE_MS || run.phase != Phase::Live {
+                    unobserved.push((run.image, share));
                 }
             } else if run.target_ms > 0 {
-                let base = self.presses.base(run.image);
-                let expected = match ratio_of(run) {
+                let baseline = self.interference.baseline(run.image);
+                let expected = match tail_ratio(run) {
                     Some(ratio) => ratio.ln(),
-                    None => base,
+                    None => baseline,
                 };
                 load.tails.push(place::Tail {
                     image: run.image,
                     growth: 0.0,
-                    expected: expected.max(base),
+                    expected: expected.max(baseline),
                 });
             }
         }
-        let presses = &self.presses;
-        let sum = |fillers: &[(ImageId, f64)], tail: ImageId| -> f64 {
+        let model = &self.interference;
+        let growth_of = |fillers: &[(ImageId, f64)], tail: ImageId| -> f64 {
             let each = fillers.iter();
-            each.map(|(filler, share)| presses.pressure(*filler, tail) * share)
+            each.map(|(filler, share)| model.pressure(*filler, tail) * share)
                 .sum()
         };
         for tail in &mut load.tails {
-            tail.growth = sum(&load.fillers, tail.image);
-            tail.expected += sum(&unseen, tail.image);
+            tail.growth = growth_of(&load.fillers, tail.image);
+            tail.expected += growth_of(&unobserved, tail.image);
         }
         load
     }
 }
 
-/// Tail over target of a standing task at work, none without a target.
-fn ratio_of(run: &Run) -> Option<f64> {
-    if run.target_ms == 0 || run.percent != AT_WORK || run.phase != Phase::Live {
+/// Tail latency divided by target of a serving task, none without a target.
+fn tail_ratio(run: &Run) -> Option<f64> {
+    if run.target_ms == 0 || run.progress != SERVING_PERCENT || run.phase != Phase::Live {
         return None;
     }
     #[expect(
--- a/crates/verbenahitch/src/dispatch/mod.rs
+++ b/crates/verbenahitch/src/dispatch/mod.rs
@@ -1,36 +1,40 @@
-//! Dispatching: which task runs where and when, on all workers of a deployment.
+//! Dispatcher: decides which task runs where and when, on all workers of a
+//! deployment.
 //!
-//! One process owns the [`Dispatcher`] at a time. It takes in what callers,
-//! workers, registry and store say, and gives out [`Order`]s to workers and
-//! [`Write`]s to the store. It does no I/O and reads no clock.
+//! One process owns the [`Dispatcher`] at a time. Its inputs are submissions,
+//! workers' reports, registry entries and confirmations of the store; its outputs
+//! are [`Order`]s to workers and [`Write`]s to the store. It does no I/O and reads
+//! no clock.
 //!
-//! * An assignment is ordered only once the store holds it, and an end is
+//! * A start is ordered only once the store holds the assignment, and an end is
 //!   acknowledged only once the store holds it. A successor therefore knows of
-//!   every run that may be at work.
-//! * A run that is not accounted for is started again only when its worker said
-//!   that it is gone, or when its lease has lapsed on the slowest possible clock.
-//! * Workers refuse orders with a lower fencing token, which orders the acts of
-//!   successive owners.
+//!   every run that may still be running.
+//! * A task whose run is missing is started again only when the worker reported the
+//!   run gone, or when the lease of the run has lapsed on the slowest clock allowed
+//!   for.
+//! * Workers refuse orders with a lower fencing token, so that orders of a former
+//!   owner have no effect after those of its successor.
 //!
-//! Decisions stand apart, each under the load pattern that it answers: [`wait`]
-//! (order of waiting steps), `place` (choice of a worker), `press` (relief from
-//! fillers), `health` (workers to keep away from), `slow` (runs behind their peers).
+//! Each decision has a module of its own, which names the load pattern that it is
+//! made for: [`step_order`] (order of waiting steps), `place` (choice of a worker),
+//! `interference` (fillers that slow standing tasks), `health` (quarantine of
+//! workers), `straggler` (runs much slower than their peers).
 
 mod assign;
 mod commit;
 mod ends;
 mod health;
+mod interference;
 mod job;
-mod looks;
+mod mitigation;
 mod orders;
 mod place;
-mod press;
+mod polls;
 mod recover;
-mod relief;
 mod report;
-mod slow;
+pub mod step_order;
+mod straggler;
 mod table;
-pub mod wait;
 mod worker;
 
 use std::sync::Arc;
@@ -41,12 +45,12 @@
 use crate::domain::{Millis, Monotonic};
 use crate::event::{Entry, Kind};
 
+use interference::InterferenceModel;
+pub use interference::Pressure;
 pub use job::{
     Amount, IdError, JobId, JobRecord, JobSpec, JobState, Queue, Repeat, SpecError, StepSpec,
     TaskId,
 };
-use press::Presses;
-pub use press::Pressure;
 pub use report::{
     CallFailure, EndCause, EndedEntry, Look, Order, ProgressRecord, Report, RunRecord,
     RunningEntry, Start, Target, TaskRecord, Write,
@@ -55,19 +59,19 @@
 use worker::{Phase, Run, Worker};
 pub use worker::{RunKey, WorkerInfo, WorkerKey};
 
-/// Bounds that the deployment sets, in milliseconds.
+/// Time bounds that the deployment sets, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Length of the lease that each look gives a worker's tasks.
+    /// Length of the lease that each poll gives a worker's tasks.
     pub lease_ms: Millis,
-    /// How long an owner that the store does not answer may go on extending
-    /// leases without answers of most workers.
+    /// How long an owner may go on extending leases while neither the store nor
+    /// most workers answer.
     pub quorum_ms: Millis,
-    /// How long a vanished entry of the registry may still come back.
+    /// How long a worker stays usable after its registry entry has vanished.
     pub relist_ms: Millis,
 }
 
-/// Instant of an event on both clocks.
+/// Time of an event on both clocks.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Now {
     /// Monotonic time of this process.
@@ -76,41 +80,47 @@
     pub wall_ms: Millis,
 }
 
-/// The decisions about all workers and jobs of a deployment.
+/// State and decisions of the dispatcher for all workers and jobs of a deployment.
 #[derive(Debug)]
 pub struct Dispatcher {
     bounds: Bounds,
     jobs: HashMap<JobId, Job>,
-    open: HashSet<JobId>,
+    /// Jobs whose end the store does not hold, or that still have runs.
+    open_jobs: HashSet<JobId>,
     workers: SlotMap<WorkerKey, Worker>,
-    names: HashMap<String, WorkerKey>,
+    worker_keys: HashMap<String, WorkerKey>,
+    /// Workers that the registry no longer lists, by the time their entry vanished.
     unlisted: HashMap<WorkerKey, Monotonic>,
     runs: SlotMap<RunKey, Run>,
-    /// Loads of workers that were worked out, without those that have changed since.
+    /// Cached loads of workers; an entry is removed when the worker's load changes.
     loads: SecondaryMap<WorkerKey, place::Load>,
-    /// Runs whose worker may have to be told something.
-    due: HashSet<RunKey>,
+    /// Runs that may need an order to their worker.
+    due_runs: HashSet<RunKey>,
     /// Jobs that may have tasks to place.
     pending: HashSet<JobId>,
-    /// Jobs with repetitions to come.
+    /// Jobs with repetitions that have not begun.
     recurring: Vec<JobId>,
     queues: HashMap<String, Queue>,
     evacuated: HashSet<String>,
-    /// Cancels that came before their jobs.
+    /// Cancelled jobs that have not been submitted yet.
     early_cancels: HashSet<JobId>,
-    presses: Presses,
+    interference: InterferenceModel,
+    /// Jobs with changes to be written.
     dirty: Vec<JobId>,
+    /// Versions of the jobs in the write in progress.
     writing: HashMap<JobId, u64>,
-    /// Whether something has changed that may let a waiting task start.
-    has_news: bool,
+    /// Whether a change may let a waiting task start.
+    assign_needed: bool,
     /// Last attempt to assign waiting tasks.
-    assigned: Monotonic,
-    /// Last search for slow runs.
-    reviewed: Monotonic,
+    assigned_at: Monotonic,
+    /// Last check for stalled and slow runs.
+    checked_at: Monotonic,
     is_fenced: bool,
     is_suspended: bool,
+    /// When most workers had first answered this owner.
     quorum_at: Option<Monotonic>,
-    store_at: Monotonic,
+    /// Last confirmation of the ownership by the store.
+    ownership_at: Monotonic,
 }
 
 impl Dispatcher {
@@ -119,32 +129,32 @@
         Self {
             bounds,
             jobs: HashMap::default(),
-            open: HashSet::default(),
+            open_jobs: HashSet::default(),
             workers: SlotMap::with_key(),
-            names: HashMap::default(),
+            worker_keys: HashMap::default(),
             unlisted: HashMap::default(),
             runs: SlotMap::with_key(),
             loads: SecondaryMap::new(),
-            due: HashSet::default(),
+            due_runs: HashSet::default(),
             pending: HashSet::default(),
             recurring: Vec::new(),
             queues: HashMap::default(),
             evacuated: HashSet::default(),
             early_cancels: HashSet::default(),
-            presses: Presses::default(),
+            interference: InterferenceModel::default(),
             dirty: Vec::new(),
             writing: HashMap::default(),
-            has_news: true,
-            assigned: now,
-            reviewed: now,
+            assign_needed: true,
+            assigned_at: now,
+            checked_at: now,
             is_fenced: false,
             is_suspended: false,
             quorum_at: None,
-            store_at: now,
+            ownership_at: now,
         }
     }
 
-    /// Sets the queues in force and the zones that get nothing.
+    /// Sets the queues in force and the zones whose workers get no tasks.
     pub fn declare(&mut self, queues: &[Queue], evacuated: &[String]) {
         self.queues = queues
             .iter()
@@ -153,7 +163,7 @@
         self.evacuated = evacuated.iter().cloned().collect();
     }
 
-    /// Takes in a job that the store holds; repeating it changes nothing.
+    /// Adds a job that the store holds; a known job is left unchanged.
     pub fn submit(&mut self, id: JobId, record: JobRecord, now: Now) {
         if self.jobs.contains_key(&id) {
             return;
@@ -163,29 +173,29 @@
             .with("queue", &record.queue.name)
             .with("steps", record.spec.steps.len())
             .emit();
-        self.admit(id, record, now);
+        self.insert_job(id, record, now);
         if self.early_cancels.remove(&id) {
             self.cancel(id, now.at);
         }
     }
 
-    fn admit(&mut self, id: JobId, record: JobRecord, now: Now) {
+    fn insert_job(&mut self, id: JobId, record: JobRecord, now: Now) {
         let job = Job::new(record, now);
         if job.begun < job.times() {
             self.recurring.push(id);
         }
         self.jobs.insert(id, job);
-        self.open.insert(id);
+        self.open_jobs.insert(id);
         self.pending.insert(id);
-        self.has_news = true;
+        self.assign_needed = true;
     }
 
-    /// Takes in that a job ended in an earlier ownership.
+    /// Adds a job that ended under an earlier owner.
     pub fn remember(&mut self, id: JobId, state: JobState, now: Now) {
         self.jobs.insert(id, Job::ended(state, now));
     }
 
-    /// Cancels a job; nothing of it starts any more.
+    /// Cancels a job: stops its runs and starts no more of its tasks.
     pub fn cancel(&mut self, id: JobId, now: Monotonic) {
         let Some(job) = self.jobs.get_mut(&id) else {
             self.early_cancels.insert(id);
@@ -196,18 +206,18 @@
         }
         job.state = JobState::Cancelled;
         Entry::new(Kind::JobCancelled).with_text("job", id).emit();
-        self.stop_all(id, now);
-        self.touch(id);
+        self.stop_job(id, now);
+        self.mark_dirty(id);
     }
 
-    /// State of a job as callers may see it; none if it is not known.
+    /// State of a job that callers are shown; none if the job is unknown.
     pub fn state(&self, id: JobId) -> Option<JobState> {
-        self.jobs.get(&id).map(|job| job.shown)
+        self.jobs.get(&id).map(|job| job.visible_state)
     }
 
-    /// Jobs of a queue of which no task has started.
+    /// Number of jobs of a queue of which no task has started.
     pub fn waiting(&self, queue: &str) -> usize {
-        let jobs = self.open.iter().filter_map(|id| self.jobs.get(id));
+        let jobs = self.open_jobs.iter().filter_map(|id| self.jobs.get(id));
         jobs.filter(|job| {
             job.record.queue.name == queue && !job.has_started && !job.state.is_final()
         })
@@ -219,23 +229,24 @@
         self.is_fenced
     }
 
-    /// Sets whether ownership is in doubt: nothing is extended or started meanwhile.
+    /// Sets whether the ownership is in doubt; while it is, no lease is extended and no
+    /// run is started.
     pub fn suspend(&mut self, is_suspended: bool) {
         self.is_suspended = is_suspended;
     }
 
-    /// Notes that the store has confirmed the ownership at `now`.
+    /// Records that the store confirmed the ownership at `now`.
     pub fn confirm(&mut self, now: Monotonic) {
-        self.store_at = now;
+        self.ownership_at = now;
     }
 
-    /// Whether leases may be extended and runs started: the store has confirmed
-    /// the ownership lately, or most workers have answered lately.
+    /// Whether leases may be extended and runs started: the store has confirmed the
+    /// ownership, or most workers have answered, within `quorum_ms`.
     fn may_act(&self, now: Monotonic) -> bool {
         if self.is_fenced || self.is_suspended {
             return false;
         }
-        now.since(self.store_at) <= self.bounds.quorum_ms || self.has_quorum(now)
+        now.since(self.ownership_at) <= self.bounds.quorum_ms || self.has_quorum(now)
     }
 
     fn has_quorum(&self, now: Monotonic) -> bool {
@@ -244,19 +255,20 @@
         let answering = self
             .workers
             .values()
-            .filter(|worker| worker.answers(now, limit))
+            .filter(|worker| worker.answered_within(now, limit))
             .count();
         answering > 0 && answering * 2 > listed
     }
 
-    /// Terms of a job: those in force, or those of its acceptance once its queue is gone.
-    fn terms<'a>(&'a self, job: &'a Job) -> &'a Queue {
+    /// Queue of a job as declared now, or as recorded at acceptance if it is no longer
+    /// declared.
+    fn queue_of<'a>(&'a self, job: &'a Job) -> &'a Queue {
         let recorded = &job.record.queue;
         self.queues.get(&recorded.name).unwrap_or(recorded)
     }
 
     /// Marks a job for writing.
-    fn touch(&mut self, id: JobId) {
+    fn mark_dirty(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -267,24 +279,24 @@
         }
     }
 
-    /// Payload of a job.
+    /// Payload of a job, empty if the job is unknown.
     fn payload(&self, id: JobId) -> Arc<str> {
         self.jobs
             .get(&id)
             .map_or_else(|| Arc::from(""), |job| Arc::clone(&job.record.spec.payload))
     }
 
-    /// Pressures between images that were learned.
+    /// Learned pressures between images.
     pub fn learned(&self) -> Vec<Pressure> {
-        self.presses.learned()
+        self.interference.learned()
     }
 
-    /// Takes in pressures that an earlier owner has learned.
+    /// Restores pressures that an earlier owner learned.
     pub fn relearn(&mut self, learned: &[Pressure]) {
-        self.presses.relearn(learned);
+        self.interference.relearn(learned);
     }
 
-    /// Number of workers that can be given tasks, and of runs.
+    /// Number of usable workers, and of runs.
     pub fn counts(&self, now: Monotonic) -> (usize, usize) {
         let usable = self
             .workers
--- a/crates/verbenahitch/src/dispatch/orders.rs
+++ b/crates/verbenahitch/src/dispatch/orders.rs
@@ -1,32 +1,32 @@
-//! One pass of decisions: what to look at, start, stop and pace now.
+//! One pass of the dispatcher: the polls, starts, stops and changes of pace that are due.
 
 use super::report::{Order, Start, Target};
 use super::worker::{Run, WorkerKey};
 use super::{Dispatcher, Millis, Monotonic, Now, Phase, RunKey, health};
 
-/// Age of a worker's last answer up to which it is given tasks, in milliseconds.
-/// Longer than a look with its grace.
-const FRESH_MS: Millis = 1_800;
+/// Maximum age of a worker's last answer for it to be given tasks, in milliseconds.
+/// Longer than a poll with its grace.
+const USABLE_AGE_MS: Millis = 1_800;
 
-/// Time after which waiting tasks are tried again though nothing has changed, in
+/// Time after which the assignment of waiting tasks is retried without a change, in
 /// milliseconds.
-const RETRY_MS: Millis = 100;
+const ASSIGN_RETRY_MS: Millis = 100;
 
 impl Dispatcher {
-    /// Decides on everything that is due.
+    /// Makes all decisions that are due and returns the resulting orders.
     pub fn pass(&mut self, now: Now) -> Vec<Order> {
         let mut orders = Vec::new();
         if self.is_fenced {
             return orders;
         }
-        self.expire(now.at);
+        self.expire_leases(now.at);
         self.begin_rounds(now.wall_ms);
-        self.review(now.at);
-        self.due_looks(now.at, &mut orders);
+        self.check_progress(now.at);
+        self.due_polls(now.at, &mut orders);
         if self.may_act(now.at) {
-            if self.has_news || now.at.since(self.assigned) >= RETRY_MS {
-                self.has_news = false;
-                self.assigned = now.at;
+            if self.assign_needed || now.at.since(self.assigned_at) >= ASSIGN_RETRY_MS {
+                self.assign_needed = false;
+                self.assigned_at = now.at;
                 self.assign(now.at);
             }
             self.due_orders(now.at, &mut orders);
@@ -45,8 +45,8 @@
         is_listed
             && !worker.info.draining
             && worker.clock.is_some()
-            && worker.answers(now, FRESH_MS)
-            && worker.shunned_until <= now
+            && worker.answered_within(now, USABLE_AGE_MS)
+            && worker.quarantined_until <= now
             && !self.evacuated.contains(&worker.info.zone)
     }
 
@@ -66,28 +66,28 @@
         });
     }
 
-    /// Orders about runs that are due.
+    /// Adds the orders for runs that are due.
     fn due_orders(&mut self, now: Monotonic, orders: &mut Vec<Order>) {
         let runs = &self.runs;
-        self.due
+        self.due_runs
             .retain(|key| runs.get(*key).is_some_and(Run::is_due));
-        let is_ripe = |key: &&RunKey| {
+        let is_ready = |key: &&RunKey| {
             let run = &runs[**key];
-            !run.busy && run.retry_at <= now
+            !run.in_flight && run.retry_at <= now
         };
-        let ripe: Vec<RunKey> = self.due.iter().filter(is_ripe).copied().collect();
-        for key in ripe {
-            if let Some(order) = self.order(key, now) {
-                self.runs[key].busy = true;
+        let ready: Vec<RunKey> = self.due_runs.iter().filter(is_ready).copied().collect();
+        for key in ready {
+            if let Some(order) = self.next_order(key, now) {
+                self.runs[key].in_flight = true;
                 orders.push(order);
             }
         }
     }
 
-    fn order(&mut self, key: RunKey, now: Monotonic) -> Option<Order> {
+    fn next_order(&mut self, key: RunKey, now: Monotonic) -> Option<Order> {
         let run = &self.runs[key];
         let (phase, stop, pace, task, number) =
-            (run.phase, run.stop, run.pace, run.task, run.number);
+            (run.phase, run.stop_wanted, run.pace, run.task, run.number);
         let worker = &self.workers[run.worker];
         if worker.info.address.is_empty() || worker.clock.is_none() {
             return None;
@@ -100,19 +100,19 @@
             run: number,
         };
         if stop {
-            return (run.stopped.is_none()).then_some(Order::Stop(target));
+            return (run.stopped_at.is_none()).then_some(Order::Stop(target));
         }
         if phase == Phase::Starting {
-            if !worker.answers(now, FRESH_MS) {
+            if !worker.answered_within(now, USABLE_AGE_MS) {
                 return None;
             }
-            return self.start(key, target, now);
+            return self.start_order(key, target, now);
         }
         let wanted = self.runs[key].wanted_pace;
         (wanted != pace && phase == Phase::Live).then_some(Order::Pace(target, wanted))
     }
 
-    fn start(&mut self, key: RunKey, target: Target, now: Monotonic) -> Option<Order> {
+    fn start_order(&mut self, key: RunKey, target: Target, now: Monotonic) -> Option<Order> {
         let lease_ms = self.bounds.lease_ms;
         let payload = self.payload(target.task.job);
         let checkpoint = self
@@ -132,13 +132,14 @@
         }))
     }
 
-    /// Frees what is left of workers that have not answered until their leases lapsed.
-    fn expire(&mut self, now: Monotonic) {
+    /// Ends the runs of silent workers whose leases have lapsed, and drops those workers
+    /// that the registry no longer lists.
+    fn expire_leases(&mut self, now: Monotonic) {
         let lease_ms = self.bounds.lease_ms;
         let silent: Vec<WorkerKey> = self
             .workers
             .iter()
-            .filter(|(_, worker)| !worker.answers(now, lease_ms))
+            .filter(|(_, worker)| !worker.answered_within(now, lease_ms))
             .map(|(key, _)| key)
             .collect();
         for key in silent {
@@ -149,7 +150,7 @@
             }
             let runs: Vec<RunKey> = worker.runs.iter().copied().collect();
             for run in runs {
-                self.end(run, super::EndCause::Lapsed, "", now);
+                self.end_run(run, super::EndCause::Lapsed, "", now);
             }
             if !self.workers[key].listed {
                 self.drop_worker(key);
@@ -157,8 +158,8 @@
         }
     }
 
-    /// Instant at which leases that an earlier owner gave have surely lapsed:
-    /// it could extend them until it lost the answers of most workers.
+    /// When all leases that an earlier owner gave have lapsed: it could extend them for
+    /// as long as most workers answered it.
     fn inherited_lapse(&self) -> Option<Monotonic> {
         let base = self.quorum_at?;
         let slowest = self.bounds.lease_ms + self.bounds.lease_ms / 20;
@@ -167,15 +168,15 @@
 
     fn drop_worker(&mut self, key: WorkerKey) {
         if let Some(worker) = self.workers.remove(key) {
-            self.names.remove(&worker.info.name);
+            self.worker_keys.remove(&worker.info.name);
             self.unlisted.remove(&key);
         }
     }
 
-    /// Notes that a worker refused or never got an order.
-    pub(super) fn shun(&mut self, key: WorkerKey, now: Monotonic) {
+    /// Records that a worker refused an order or did not get it.
+    pub(super) fn order_refused(&mut self, key: WorkerKey, now: Monotonic) {
         if let Some(worker) = self.workers.get_mut(key) {
-            health::refused(worker, now);
+            health::order_refused(worker, now);
         }
     }
 }
--- a/crates/verbenahitch/src/dispatch/place.rs
+++ b/crates/verbenahitch/src/dispatch/place.rs
@@ -1,130 +1,131 @@
 //! Choice of a worker for a task.
 //!
-//! Load pattern: standing tasks hold most of the committed processors but use
-//! less than half of them; fillers live on the rest and slow the standing tasks
-//! beside them, some images far more than others. A filler therefore goes where
-//! most is idle and where it presses least; other work goes where fillers and
-//! latency targets are few.
+//! Load pattern: standing tasks hold most of the committed CPU but use less than
+//! half of it. Fillers use the idle rest and slow the standing tasks on the same
+//! worker, some images far more than others. A filler is therefore placed where
+//! most CPU is idle and where it is expected to slow standing tasks least; other
+//! tasks are placed where there are few fillers and latency targets.
 //!
-//! Inputs: commitments, exact by the dispatcher's own orders; health and pace,
-//! as old as the last look, at most a second or so.
+//! Inputs: commitments, exact by the dispatcher's own orders; tails, health and
+//! pace, as old as the last poll, about a second at most.
 
+use super::interference::{self, ImageId, InterferenceModel};
 use super::job::{Amount, StepSpec};
-use super::press::{self, ImageId, Presses};
 use super::worker::Worker;
 
-/// Share of its committed processors that a standing task uses: a little under
-/// half on the average, and some for the peaks of its load.
+/// Share of its committed CPU that a standing task is assumed to use: a little under
+/// half on average, and a reserve for load peaks.
 const STANDING_USE: f64 = 0.5;
 
-/// Part of the memory beside free processors that fillers leave, as a divisor: other
-/// work needs about half of what a worker has for each processor.
+/// Divisor of the memory that goes with uncommitted CPU; fillers leave the quotient
+/// free. Other tasks need about half of a worker's memory for each core.
 const RESERVE_DIVISOR: u64 = 2;
 
-/// Share of a filler's request that must be idle for it to start there.
-const FILLER_FIT: f64 = 0.9;
+/// Share of a filler's requested CPU that must be idle on its worker.
+const FILLER_IDLE_SHARE: f64 = 0.9;
 
-/// Cost of a rack that is not that of the data, in parts of a worker.
-const REMOTE_COST: f64 = 10.0;
+/// Cost of a rack other than that of the data, as a fraction of a worker.
+const OTHER_RACK_COST: f64 = 10.0;
 
-/// Cost of each task of the same step that is there already, in parts of a worker.
-const CROWD_COST: f64 = 0.05;
+/// Cost of each task of the same step on the worker, as a fraction of a worker.
+const SAME_STEP_COST: f64 = 0.05;
 
-/// Cost of the worker on which the task failed before.
+/// Cost of the worker that the task avoids, as a fraction of a worker.
 pub(super) const AVOID_COST: f64 = 20.0;
 
-/// Cost of the growth of a tail, in parts of a worker.
-const HARM_COST: f64 = 1.0;
+/// Cost of the growth of a tail, as a fraction of a worker.
+const GROWTH_COST: f64 = 1.0;
 
-/// Weight of a tail that is high already against growth.
+/// Weight of a tail above [`interference::EXCESS_RATIO`], relative to growth.
 const EXCESS_WEIGHT: f64 = 0.5;
 
-/// Cost of a worker's commitment for a standing task, in parts of a worker.
-const FILL_COST: f64 = 0.3;
+/// Weight of a worker's committed share for a task with a target.
+const COMMITTED_COST: f64 = 0.3;
 
-/// Cost of a worker where no task of the same image serves, in parts of a worker:
-/// more than that of a worker which is almost full.
-const OPEN_COST: f64 = 0.5;
+/// Cost of a worker without tasks of the same image, as a fraction of a worker; it
+/// exceeds the cost of a worker that is almost full.
+const NEW_IMAGE_COST: f64 = 0.5;
 
-/// Cost of each task of another image that serves there, in parts of a worker.
-const FOREIGN_COST: f64 = 0.2;
+/// Cost of each task of another image with a target, as a fraction of a worker.
+const OTHER_IMAGE_COST: f64 = 0.2;
 
-/// Cost of a worker without standing tasks for a filler that harms nobody, in parts
-/// of a worker: such places are for those that do.
-const RESERVE_COST: f64 = 0.6;
+/// Cost of a worker without standing tasks for a harmless filler, as a fraction of a
+/// worker: such workers are reserved for harmful fillers.
+const EMPTY_WORKER_COST: f64 = 0.6;
 
-/// What a choice looks at, for one worker.
+/// Load of a worker, as far as placement depends on it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct Load {
-    /// Processors of standing tasks in thousandths.
-    pub standing: u64,
-    /// Standing tasks with a target.
+    /// Committed CPU of standing tasks in thousandths of a core.
+    pub standing_milli: u64,
+    /// Tails of the standing tasks with a target.
     pub tails: Vec<Tail>,
-    /// Fillers with their shares of the worker's processors.
+    /// Images of the fillers, with their shares of the worker's CPU.
     pub fillers: Vec<(ImageId, f64)>,
 }
 
-/// Tail of a standing task, as logarithms.
+/// Tail latency of a standing task, as logarithms.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Tail {
     pub image: ImageId,
-    /// Growth by the fillers beside it.
+    /// Growth that the fillers on the worker cause.
     pub growth: f64,
-    /// Tail over target as last seen, with what has been added since.
+    /// Last reported tail ratio, with the growth by fillers added since.
     pub expected: f64,
 }
 
-/// What one more task does to the tails on a worker, as logarithms.
+/// Effect of one more task on the tails on a worker, as logarithms.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(super) struct Harm {
-    /// Largest growth.
+pub(super) struct TailImpact {
+    /// Largest growth of a tail.
     pub growth: f64,
-    /// Largest tail over target.
+    /// Largest tail ratio.
     pub expected: f64,
 }
 
-impl Harm {
-    fn is_too_much(self) -> bool {
-        self.growth > press::GROWTH_LIMIT || self.expected > press::PLACED.ln()
+impl TailImpact {
+    fn is_excessive(self) -> bool {
+        self.growth > interference::GROWTH_LIMIT
+            || self.expected > interference::PLACEMENT_RATIO.ln()
     }
 
     fn cost(self) -> f64 {
-        let excess = (self.expected - press::UNPRESSED.ln()).max(0.0);
-        (self.growth + excess * EXCESS_WEIGHT) * HARM_COST
+        let excess = (self.expected - interference::EXCESS_RATIO.ln()).max(0.0);
+        (self.growth + excess * EXCESS_WEIGHT) * GROWTH_COST
     }
 }
 
-/// What is to be placed.
+/// Tasks of a step to be placed.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Wanted<'a> {
+pub(super) struct PlacementRequest<'a> {
     pub step: &'a StepSpec,
     image: ImageId,
-    /// How widely it harms, zero for what does not fill.
-    weight: f64,
+    /// Harmfulness of a filler, zero for other tasks.
+    harmfulness: f64,
 }
 
-impl<'a> Wanted<'a> {
-    pub fn new(presses: &mut Presses, step: &'a StepSpec) -> Self {
-        let image = presses.image(&step.image);
+impl<'a> PlacementRequest<'a> {
+    pub fn new(model: &mut InterferenceModel, step: &'a StepSpec) -> Self {
+        let image = model.image_id(&step.image);
         Self {
             step,
             image,
-            weight: if step.filler {
-                presses.weight(image)
+            harmfulness: if step.filler {
+                model.harmfulness(image)
             } else {
                 0.0
             },
         }
     }
 
-    /// Whether its cost depends on what runs on a worker.
+    /// Whether its cost depends on the load of a worker.
     pub fn needs_load(&self) -> bool {
         self.step.filler || self.step.target_ms > 0
     }
 
-    /// What one more task does to the tails on a worker.
-    fn harm(&self, presses: &Presses, load: &Load, capacity: u64) -> Harm {
-        let none = Harm {
+    /// Effect of one more task on the tails on a worker.
+    fn tail_impact(&self, model: &InterferenceModel, load: &Load, capacity: u64) -> TailImpact {
+        let none = TailImpact {
             growth: 0.0,
             expected: f64::NEG_INFINITY,
         };
@@ -132,8 +133,8 @@
         if self.step.filler {
             let share = share_of(self.step.amount.cpu_milli, capacity);
             load.tails.iter().fold(none, |worst, tail| {
-                let added = presses.pressure(image, tail.image) * share;
-                Harm {
+                let added = model.pressure(image, tail.image) * share;
+                TailImpact {
                     growth: worst.growth.max(tail.growth + added),
                     expected: worst.expected.max(tail.expected + added),
                 }
@@ -141,17 +142,17 @@
         } else {
             let each = load.fillers.iter();
             let growth: f64 = each
-                .map(|(filler, share)| presses.pressure(*filler, image) * share)
+                .map(|(filler, share)| model.pressure(*filler, image) * share)
                 .sum();
-            Harm {
+            TailImpact {
                 growth,
-                expected: presses.base(image) + growth,
+                expected: model.baseline(image) + growth,
             }
         }
     }
 }
 
-/// Part of `whole`, zero of nothing.
+/// `part` as a fraction of `whole`, zero if `whole` is zero.
 pub(super) fn share_of(part: u64, whole: u64) -> f64 {
     if whole == 0 {
         return 0.0;
@@ -159,34 +160,35 @@
     as_float(part) / as_float(whole)
 }
 
-/// Processors in thousandths that are idle beside all that runs, negative if short.
+/// Idle CPU of a worker in thousandths of a core, negative if it is overcommitted.
 pub(super) fn idle_milli(worker: &Worker, load: &Load) -> f64 {
     let capacity = as_float(worker.info.capacity.cpu_milli);
-    let standing = as_float(load.standing);
+    let standing = as_float(load.standing_milli);
     let others = as_float(worker.committed.cpu_milli) - standing;
-    capacity - standing * STANDING_USE - others - as_float(worker.filling)
+    capacity - standing * STANDING_USE - others - as_float(worker.filler_milli)
 }
 
-/// Why a task cannot go to a worker.
+/// Reason for which a task cannot be placed on a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Misfit {
     /// The worker lacks the label.
     Label,
-    /// Enough tasks of the step are there.
+    /// The worker has as many tasks of the step as its spread allows.
     Spread,
-    /// Its room is committed.
+    /// The free resources do not suffice.
     Room,
-    /// Its processors are not idle enough for a filler.
+    /// The idle CPU does not suffice for a filler.
     Busy,
-    /// A task there would be slowed too much.
+    /// The filler would slow a standing task too much.
     Harm,
 }
 
-/// Whether a worker has the label and the room for one more task of `step`.
+/// Checks the label, the spread and the free resources of a worker for one more task
+/// of `step`.
 ///
 /// # Errors
 ///
-/// When it has not.
+/// When one of them does not suffice.
 pub(super) fn fit(worker: &Worker, step: &StepSpec, same_step: u32) -> Result<(), Misfit> {
     let info = &worker.info;
     if !step.label.is_empty() && !info.labels.contains(&step.label) {
@@ -210,78 +212,82 @@
 
 /// Cost of one more task of a step without a target on a worker where it fits.
 pub(super) fn plain_cost(worker: &Worker, step: &StepSpec, same_step: u32) -> f64 {
-    distance(worker, step) + used(worker) + f64::from(same_step) * CROWD_COST
+    rack_cost(worker, step) + committed_share(worker) + f64::from(same_step) * SAME_STEP_COST
 }
 
 /// Cost of one more filler, or task with a target, on a worker where it fits.
 ///
 /// # Errors
 ///
-/// When it should not go there.
-pub(super) fn cost(
+/// When a filler would slow a standing task too much, or too little CPU is idle.
+pub(super) fn load_cost(
     worker: &Worker,
     load: &Load,
-    wanted: &Wanted<'_>,
+    request: &PlacementRequest<'_>,
     same_step: u32,
-    presses: &Presses,
+    model: &InterferenceModel,
 ) -> Result<f64, Misfit> {
-    let step = wanted.step;
+    let step = request.step;
     let capacity = worker.info.capacity.cpu_milli;
-    let harm = wanted.harm(presses, load, capacity);
+    let impact = request.tail_impact(model, load, capacity);
     if !step.filler {
-        let shared = apart(load, wanted.image) + f64::from(same_step) * CROWD_COST;
-        return Ok(distance(worker, step) + used(worker) * FILL_COST + shared + harm.cost());
+        let packing = image_cost(load, request.image) + f64::from(same_step) * SAME_STEP_COST;
+        return Ok(rack_cost(worker, step)
+            + committed_share(worker) * COMMITTED_COST
+            + packing
+            + impact.cost());
     }
-    if harm.is_too_much() {
+    if impact.is_excessive() {
         return Err(Misfit::Harm);
     }
     let idle = idle_milli(worker, load);
-    if idle < as_float(step.amount.cpu_milli) * FILLER_FIT {
+    if idle < as_float(step.amount.cpu_milli) * FILLER_IDLE_SHARE {
         return Err(Misfit::Busy);
     }
     let reserved = if load.tails.is_empty() {
-        RESERVE_COST * (1.0 - wanted.weight)
+        EMPTY_WORKER_COST * (1.0 - request.harmfulness)
     } else {
         0.0
     };
     let idle = idle / as_float(capacity.max(1));
-    Ok(distance(worker, step) + reserved + harm.cost() - idle)
+    Ok(rack_cost(worker, step) + reserved + impact.cost() - idle)
 }
 
-/// Cost of the way to the data of a step.
-fn distance(worker: &Worker, step: &StepSpec) -> f64 {
+/// Cost of a worker by the rack of the step's data.
+fn rack_cost(worker: &Worker, step: &StepSpec) -> f64 {
     if step.rack.is_empty() || step.rack == worker.rack() {
         return 0.0;
     }
-    REMOTE_COST
+    OTHER_RACK_COST
 }
 
-/// Part of a worker's processors that is committed.
-fn used(worker: &Worker) -> f64 {
+/// Share of a worker's CPU that is committed.
+fn committed_share(worker: &Worker) -> f64 {
     as_float(worker.committed.cpu_milli) / as_float(worker.info.capacity.cpu_milli.max(1))
 }
 
-/// Memory that fillers leave for the processors that are not committed, in MB.
+/// Memory that fillers leave for tasks on the uncommitted CPU, in MB.
 fn reserve_mb(capacity: Amount, free: Amount) -> u64 {
     free.cpu_milli * capacity.memory_mb / capacity.cpu_milli.max(1) / RESERVE_DIVISOR
 }
 
-/// Cost of a worker for a standing task by the images that serve there: tasks of one
-/// image gather, so that a filler which harms it finds workers without it.
-fn apart(load: &Load, image: ImageId) -> f64 {
+/// Cost of a worker for a standing task by the images that serve there. Tasks of one
+/// image are packed together, so that workers without the image remain for fillers
+/// that slow it.
+fn image_cost(load: &Load, image: ImageId) -> f64 {
     let is_same = |tail: &&Tail| tail.image == image;
     let same = load.tails.iter().filter(is_same).count();
-    let foreign = load.tails.len() - same;
-    let open = if same == 0 { OPEN_COST } else { 0.0 };
+    let other = load.tails.len() - same;
+    let new_image = if same == 0 { NEW_IMAGE_COST } else { 0.0 };
     #[expect(
         clippy::cast_precision_loss,
         reason = "a worker runs a few dozen tasks"
     )]
-    let mixed = foreign as f64 * FOREIGN_COST;
-    open + mixed
+    let other_images = other as f64 * OTHER_IMAGE_COST;
+    new_image + other_images
 }
 
-/// What a task of `step` takes of a worker's capacity.
+/// Resources that a task of `step` commits on a worker: no CPU for a filler.
 pub(super) fn committed(step: &StepSpec) -> Amount {
     let cpu_milli = if step.filler {
         0
--- a/crates/verbenahitch/src/dispatch/recover.rs
+++ b/crates/verbenahitch/src/dispatch/recover.rs
@@ -1,4 +1,4 @@
-//! Take-over: what an earlier owner recorded.
+//! Takeover: restores the jobs, runs and workers that an earlier owner recorded.
 
 use super::report::{ProgressRecord, TaskRecord};
 use super::worker::{WorkerInfo, WorkerKey};
@@ -6,7 +6,7 @@
 use crate::domain::Monotonic;
 
 impl Dispatcher {
-    /// Takes in a job with its recorded progress.
+    /// Adds a job with its recorded progress.
     pub fn recover(
         &mut self,
         id: JobId,
@@ -14,7 +14,7 @@
         progress: Option<ProgressRecord>,
         now: Now,
     ) {
-        self.admit(id, record, now);
+        self.insert_job(id, record, now);
         let Some(progress) = progress else {
             return;
         };
@@ -22,7 +22,7 @@
             return;
         };
         job.state = progress.state;
-        job.shown = progress.state;
+        job.visible_state = progress.state;
         job.has_started = !progress.tasks.is_empty();
         let last = progress.tasks.iter().map(|task| task.at.0).max();
         while job.begun <= last.unwrap_or(0) && job.begun < job.times() {
@@ -31,7 +31,7 @@
         for task in progress.tasks {
             self.recover_task(id, task, now.at);
         }
-        self.close(id);
+        self.close_if_ended(id);
     }
 
     fn recover_task(&mut self, id: JobId, record: TaskRecord, now: Monotonic) {
@@ -43,7 +43,7 @@
             index,
         };
         let Some(task) = self.task_mut(at) else {
-            log::warn!("the record of {at} does not fit its job");
+            log::warn!("progress record of task {at} ignored: its job has no such task");
             return;
         };
         task.done = record.done;
@@ -54,16 +54,16 @@
             && let Some(job) = self.jobs.get_mut(&id)
             && let Some(step) = job.step_mut(round, step)
         {
-            step.left = step.left.saturating_sub(1);
+            step.undone = step.undone.saturating_sub(1);
         }
-        let is_unwanted = record.done || self.is_final(id);
+        let is_obsolete = record.done || self.is_job_final(id);
         for run in record.runs {
             let worker = self.worker_named(&run.1, run.2);
             let key = self.insert_run(at, run.0, worker, now);
             let state = &mut self.runs[key];
             state.phase = Phase::Live;
             state.inherited = true;
-            if is_unwanted {
+            if is_obsolete {
                 self.stop_run(key);
             }
             if let Some(task) = self.task_mut(at) {
@@ -72,14 +72,14 @@
         }
     }
 
-    fn is_final(&self, id: JobId) -> bool {
+    fn is_job_final(&self, id: JobId) -> bool {
         let state = self.jobs.get(&id).map(|job| job.state);
         state.is_some_and(JobState::is_final)
     }
 
-    /// Worker of that name; one that the registry does not list has no address.
+    /// Worker of that name; one that is unknown is added unlisted and without address.
     fn worker_named(&mut self, name: &str, born: u64) -> WorkerKey {
-        if let Some(key) = self.names.get(name) {
+        if let Some(key) = self.worker_keys.get(name) {
             return *key;
         }
         let mut worker = Worker::new(WorkerInfo {
@@ -89,7 +89,7 @@
         });
         worker.listed = false;
         let key = self.workers.insert(worker);
-        self.names.insert(name.to_owned(), key);
+        self.worker_keys.insert(name.to_owned(), key);
         key
     }
 }
--- a/crates/verbenahitch/src/dispatch/report.rs
+++ b/crates/verbenahitch/src/dispatch/report.rs
@@ -1,5 +1,5 @@
-//! What the dispatcher exchanges with its surroundings: answers of workers in,
-//! orders and records out.
+//! Inputs and outputs of the dispatcher: workers' answers, orders to workers, and
+//! records for the store.
 
 use std::sync::Arc;
 
@@ -9,21 +9,21 @@
 use super::worker::{RunKey, WorkerKey};
 use crate::domain::Millis;
 
-/// Why a run has ended.
+/// Reason for which a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndCause {
-    /// It did all its work.
+    /// It completed its work.
     Done,
-    /// It failed, by its own fault or the worker's.
+    /// It failed, because of itself or of the worker.
     Failed,
-    /// It was told to stop.
+    /// It was stopped by an order.
     Stopped,
-    /// Its lease ran out.
+    /// Its lease lapsed.
     Lapsed,
     /// Another member of its gang ended.
     Broken,
-    /// The other members of its gang did not come.
+    /// The other members of its gang did not start.
     Alone,
 }
 
@@ -36,64 +36,64 @@
     pub run: u32,
     /// Newest checkpoint, empty for none.
     pub checkpoint: String,
-    /// Progress, or 100 for a standing task at work.
+    /// Progress in percent; 100 for a standing task that serves.
     pub percent: u8,
-    /// Tail latency of a standing task in milliseconds, else processors in use.
+    /// Tail latency of a standing task in milliseconds; CPU in use for other tasks.
     pub figure: Millis,
 }
 
 /// A run that a worker lists as ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndedEntry {
-    /// Number of the end in the worker's life.
+    /// Sequence number of the end in the worker's incarnation.
     pub number: u64,
     /// Task.
     pub task: TaskId,
     /// Number of the run.
     pub run: u32,
-    /// Why it has ended.
+    /// Reason for which it ended.
     pub cause: EndCause,
     /// Newest checkpoint, empty for none.
     pub checkpoint: String,
 }
 
-/// Answer of a worker to a look.
+/// Answer of a worker to a poll.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Start of the worker's life, zero if it does not say.
+    /// Start of the worker's incarnation, zero if it is not reported.
     pub born: u64,
     /// The worker's clock in milliseconds.
     pub clock_ms: Millis,
-    /// What runs there.
+    /// Runs in progress.
     pub running: Vec<RunningEntry>,
-    /// What has ended there and is not yet acknowledged.
+    /// Ended runs that are not yet acknowledged.
     pub ended: Vec<EndedEntry>,
 }
 
-/// Why a call to a worker brought no report.
+/// Reason for which a call to a worker failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallFailure {
     /// The worker has seen a higher fencing token.
     Fenced,
-    /// The run is not higher than one that was stopped or has ended there.
+    /// The worker has stopped or ended a run of the task with this number or a higher one.
     Outdated,
-    /// The lease in the order was over.
+    /// The lease in the order had lapsed on arrival.
     Late,
-    /// The worker has no room.
+    /// The worker has not enough free resources.
     NoRoom,
-    /// The worker is another life than the one meant.
+    /// The worker has restarted: its incarnation is not the one addressed.
     OtherLife,
-    /// The worker says it cannot, and has done nothing.
+    /// The worker answered that it cannot carry out the order now, and did nothing.
     Unwilling(String),
-    /// The worker will never take this order.
+    /// The worker answered that the order is invalid.
     Rejected(String),
     /// The order never left this host.
     NotSent(String),
-    /// Nobody knows whether the order was or will be carried out.
+    /// No answer came; the order may or may not be carried out, also later.
     Unanswered(String),
 }
 
-/// A call that the dispatcher wants made.
+/// Call to a worker that the dispatcher orders.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
     /// Extend the leases of a worker and read its lists.
@@ -102,11 +102,11 @@
     Start(Start),
     /// Stop a run.
     Stop(Target),
-    /// Set the share of processors of a run.
+    /// Set the pace of a run: the percentage of its CPU that it may use.
     Pace(Target, u8),
 }
 
-/// Look at a worker.
+/// Poll of a worker: extends its leases and waits for ends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Look {
     /// Worker.
@@ -115,15 +115,15 @@
     pub name: String,
     /// Its address.
     pub address: String,
-    /// New end of all leases on its clock, none to leave them.
+    /// New end of all leases on the worker's clock; none to leave them unchanged.
     pub lease_end: Option<Millis>,
-    /// Ends up to this number are kept by the store.
+    /// Highest number of an end that is acknowledged: the store holds all ends up to it.
     pub acked: u64,
-    /// How long the worker may wait for an end, in milliseconds.
+    /// How long the worker may delay its answer until a run ends, in milliseconds.
     pub wait_ms: Millis,
 }
 
-/// Run that an order is about.
+/// Run that an order applies to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
     /// Run in the dispatcher's arena.
@@ -145,24 +145,24 @@
     pub target: Target,
     /// Input of the task.
     pub payload: Arc<str>,
-    /// End of its lease on the worker's clock.
+    /// End of the lease on the worker's clock.
     pub lease_end: Millis,
     /// Checkpoint to resume from, empty for none.
     pub checkpoint: String,
 }
 
-/// An assignment that the store keeps.
+/// Record of an assignment in the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunRecord(
     /// Number of the run.
     pub u32,
     /// Name of the worker.
     pub String,
-    /// Life of the worker.
+    /// Incarnation of the worker: start in milliseconds since the Unix epoch.
     pub u64,
 );
 
-/// What the store keeps of a task that has started.
+/// Record in the store of a task with at least one assignment.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct TaskRecord {
@@ -171,12 +171,12 @@
     /// Whether it is done.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub done: bool,
-    /// Highest number of a run.
+    /// Highest run number used.
     pub run: u32,
-    /// Runs that have failed.
+    /// Number of failed runs.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub failed: u32,
-    /// Runs that may be at work.
+    /// Runs that may still be running.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub runs: Vec<RunRecord>,
     /// Newest checkpoint of an ended run.
@@ -192,17 +192,17 @@
     *value == 0
 }
 
-/// What the store keeps of the progress of a job.
+/// Record of a job's progress in the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ProgressRecord {
-    /// How the job stands.
+    /// State of the job.
     pub state: JobState,
-    /// Tasks that have started.
+    /// Tasks with at least one assignment.
     pub tasks: Vec<TaskRecord>,
 }
 
-/// A record to be written, with the version of the job that it shows.
+/// Record to be written, with the version of the job that it reflects.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Write {
     /// Job.
--- a/crates/verbenahitch/src/dispatch/slow.rs
+++ b/crates/verbenahitch/src/dispatch/straggler.rs
@@ -1,37 +1,37 @@
-//! Runs that are far slower than their peers.
+//! Stragglers: runs that stall or are far slower than their peers.
 //!
-//! Load pattern: some workers turn slow by a factor of four and more for several
-//! seconds, or stand still, while they answer every look. The tasks of a step are
-//! alike, so that one which would take several times as long as its peers is on
-//! such a worker. It is raced by a copy where that is allowed, else started anew
-//! elsewhere if that ends sooner; the worker gets nothing new for a while.
+//! Load pattern: some workers slow down by a factor of four and more for several
+//! seconds, or stall, while they answer every poll. The tasks of a step are alike,
+//! so one that would take several times as long as its peers is on such a worker.
+//! A speculative copy is started where the step allows it; otherwise the task is
+//! restarted elsewhere if that ends sooner. The worker is quarantined for a while.
 //!
-//! Inputs: progress in percent, as old as the last look.
+//! Inputs: progress in percent, as old as the last poll.
 
-use super::looks::AT_WORK;
+use super::polls::SERVING_PERCENT;
 use super::{Dispatcher, Entry, JobId, Kind, Millis, Monotonic, Phase, RunKey, health};
 
-/// Time between two reviews, in milliseconds; progress is seen about as often.
-const REVIEW_MS: Millis = 200;
+/// Time between two checks, in milliseconds; progress is reported about as often.
+const CHECK_PAUSE_MS: Millis = 200;
 
-/// Age from which the progress of a run tells its speed, in milliseconds.
+/// Minimum age of a run for its speed to be derived from its progress, in milliseconds.
 const MIN_AGE_MS: Millis = 400;
 
-/// Age of a worker's last answer up to which it is known that a run stands still, in
-/// milliseconds: longer than a look waits for an end.
-const HEARD_MS: Millis = 1_200;
+/// Maximum age of a worker's last answer for its runs to be found stalled, in
+/// milliseconds: longer than a poll waits for an end.
+const STALL_ANSWER_MS: Millis = 1_200;
 
-/// Fewest peers with a known speed.
+/// Minimum number of peers with a known duration.
 const MIN_PEERS: usize = 2;
 
-/// Times the usual duration from which a run is slow: tasks of a step differ by a
-/// third at most.
+/// Multiple of the median duration beyond which a run is slow: tasks of a step differ
+/// by a third at most.
 const SLOW_FACTOR: u64 = 3;
 
-/// Cost of starting anew, in milliseconds: a stop, a record and a start.
+/// Time that a restart takes, in milliseconds: a stop, a commit and a start.
 const RESTART_MS: Millis = 500;
 
-/// A run with the duration that its progress leads to.
+/// Projected duration of a run by its progress so far.
 struct Projection {
     key: RunKey,
     age_ms: Millis,
@@ -39,27 +39,27 @@
 }
 
 impl Dispatcher {
-    /// Finds slow runs, if the last review is old enough.
-    pub(super) fn review(&mut self, now: Monotonic) {
-        if now.since(self.reviewed) < REVIEW_MS {
+    /// Handles stalled and slow runs, if the last check is old enough.
+    pub(super) fn check_progress(&mut self, now: Monotonic) {
+        if now.since(self.checked_at) < CHECK_PAUSE_MS {
             return;
         }
-        self.reviewed = now;
-        self.stop_hanging(now);
+        self.checked_at = now;
+        self.stop_stalled(now);
         let mut slow = Vec::new();
-        for id in &self.open {
-            self.review_job(*id, &mut slow);
+        for id in &self.open_jobs {
+            self.find_stragglers(*id, &mut slow);
         }
         for key in slow {
-            self.overtake(key, now);
+            self.handle_straggler(key, now);
         }
     }
 
-    fn review_job(&self, id: JobId, slow: &mut Vec<RunKey>) {
+    fn find_stragglers(&self, id: JobId, slow: &mut Vec<RunKey>) {
         let job = &self.jobs[&id];
         for round in &job.rounds {
             for (step, spec) in round.steps.iter().zip(&job.record.spec.steps) {
-                // Fillers run at the pace of what is idle.
+                // The speed of fillers depends on how much CPU is idle.
                 if spec.standing || spec.gang || spec.filler {
                     continue;
                 }
@@ -75,10 +75,10 @@
                     continue;
                 }
                 totals.sort_unstable();
-                let usual = totals[(totals.len() - 1) / 2];
+                let median = totals[(totals.len() - 1) / 2];
                 let is_slow = |run: &&Projection| {
-                    let left = run.total_ms.saturating_sub(run.age_ms);
-                    run.total_ms > usual * SLOW_FACTOR && left > usual + RESTART_MS
+                    let remaining = run.total_ms.saturating_sub(run.age_ms);
+                    run.total_ms > median * SLOW_FACTOR && remaining > median + RESTART_MS
                 };
                 slow.extend(projections.iter().filter(is_slow).map(|run| run.key));
             }
@@ -87,30 +87,30 @@
 
     fn project(&self, key: RunKey) -> Option<Projection> {
         let run = &self.runs[key];
-        let age_ms = run.seen_at.since(run.started);
-        let is_fair = run.phase == Phase::Live && !run.stop && run.wanted_pace == 100;
-        if !is_fair || run.resumed || age_ms < MIN_AGE_MS {
+        let age_ms = run.seen_at.since(run.started_at);
+        let is_comparable = run.phase == Phase::Live && !run.stop_wanted && run.wanted_pace == 100;
+        if !is_comparable || run.resumed || age_ms < MIN_AGE_MS {
             return None;
         }
         Some(Projection {
             key,
             age_ms,
-            total_ms: age_ms * 100 / Millis::from(run.percent.max(1)),
+            total_ms: age_ms * 100 / Millis::from(run.progress.max(1)),
         })
     }
 
-    /// Races or restarts a slow run.
-    fn overtake(&mut self, key: RunKey, now: Monotonic) {
+    /// Requests a speculative copy of a slow run, or restarts it elsewhere.
+    fn handle_straggler(&mut self, key: RunKey, now: Monotonic) {
         let run = &self.runs[key];
         let (task, worker) = (run.task, run.worker);
-        let is_racing = self.spec_of(task).is_some_and(|spec| spec.speculative);
-        health::slow(&mut self.workers[worker], task.job, now);
+        let is_speculative = self.spec_of(task).is_some_and(|spec| spec.speculative);
+        health::run_slow(&mut self.workers[worker], task.job, now);
         Entry::new(Kind::Evicted)
             .with_text("task", task)
             .with("worker", &self.workers[worker].info.name)
-            .with("cause", if is_racing { "raced" } else { "slow" })
+            .with("cause", if is_speculative { "raced" } else { "slow" })
             .emit();
-        if is_racing {
+        if is_speculative {
             if let Some(state) = self.task_mut(task) {
                 state.avoid = Some(worker);
                 state.wants_copy = true;
@@ -119,29 +119,29 @@
         } else {
             self.restart_elsewhere(key);
         }
-        self.has_news = true;
+        self.assign_needed = true;
     }
 
-    /// Stops runs that make no progress, so that they start elsewhere.
-    fn stop_hanging(&mut self, now: Monotonic) {
-        let hanging: Vec<RunKey> = self
+    /// Stops stalled runs, so that their tasks start elsewhere.
+    fn stop_stalled(&mut self, now: Monotonic) {
+        let stalled: Vec<RunKey> = self
             .runs
             .iter()
             .filter(|(_, run)| {
                 run.phase == Phase::Live
-                    && !run.stop
+                    && !run.stop_wanted
                     && run.pace >= 100
-                    && now.since(run.moved_at) > health::HANG_MS
-                    && self.workers[run.worker].answers(now, HEARD_MS)
+                    && now.since(run.progressed_at) > health::STALL_MS
+                    && self.workers[run.worker].answered_within(now, STALL_ANSWER_MS)
             })
             .map(|(key, _)| key)
             .collect();
-        for key in hanging {
+        for key in stalled {
             let run = &self.runs[key];
             let Some(spec) = self.spec_of(run.task) else {
                 continue;
             };
-            if spec.standing && run.percent == AT_WORK {
+            if spec.standing && run.progress == SERVING_PERCENT {
                 continue;
             }
             let (task, worker) = (run.task, run.worker);
@@ -150,7 +150,7 @@
                 .with("worker", &self.workers[worker].info.name)
                 .with("cause", "no progress")
                 .emit();
-            health::hung(&mut self.workers[worker], now);
+            health::run_stalled(&mut self.workers[worker], now);
             self.restart_elsewhere(key);
         }
     }
--- a/crates/verbenahitch/src/dispatch/table.rs
+++ b/crates/verbenahitch/src/dispatch/table.rs
@@ -1,44 +1,47 @@
-//! Jobs as the dispatcher keeps them.
+//! State that the dispatcher keeps of jobs, their repetitions, steps and tasks.
 
 use std::sync::Arc;
 
 use super::Now;
 use super::job::{JobRecord, JobSpec, JobState, Queue, StepSpec};
-use super::wait;
+use super::step_order;
 use super::worker::{RunKey, WorkerKey};
 use crate::domain::{Millis, Monotonic};
 
-/// One task.
+/// State of a task.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Task {
     pub done: bool,
+    /// Number of failed runs.
     pub failed: u32,
-    /// Highest number of a run.
+    /// Highest run number used.
     pub last_run: u32,
+    /// Runs that may still be running.
     pub runs: Vec<RunKey>,
     pub checkpoint: String,
-    /// Worker on which the last run failed.
+    /// Worker that the next run avoids, as an earlier one failed or was slow there, or was
+    /// moved off it.
     pub avoid: Option<WorkerKey>,
-    /// Whether a second run is to race the first.
+    /// Whether a speculative second run is wanted.
     pub wants_copy: bool,
 }
 
 impl Task {
-    /// Whether a run of it is to be placed.
+    /// Whether a run of the task is to be placed.
     pub fn is_waiting(&self) -> bool {
         !self.done && (self.runs.is_empty() || (self.wants_copy && self.runs.len() == 1))
     }
 }
 
-/// One step of a round.
+/// State of a step in one round.
 #[derive(Clone, Debug)]
 pub(super) struct Step {
     pub tasks: Vec<Task>,
-    /// Tasks that are not done.
-    pub left: u32,
-    /// Whether it was logged that it waits.
-    pub is_noted: bool,
-    /// Durations of runs that were done, in milliseconds.
+    /// Number of tasks that are not done.
+    pub undone: u32,
+    /// Whether the wait of the step has been logged.
+    pub wait_logged: bool,
+    /// Durations of completed runs that were neither resumed nor throttled, in milliseconds.
     pub durations: Vec<Millis>,
 }
 
@@ -53,8 +56,8 @@
     pub fn new(number: u32, spec: &JobSpec) -> Self {
         let step = |spec: &StepSpec| Step {
             tasks: vec![Task::default(); spec.count as usize],
-            left: spec.count,
-            is_noted: false,
+            undone: spec.count,
+            wait_logged: false,
             durations: Vec::new(),
         };
         Self {
@@ -63,34 +66,38 @@
         }
     }
 
-    /// Whether all that `step` waits for is done.
+    /// Whether the steps that `spec` depends on are done.
     pub fn is_ready(&self, spec: &StepSpec) -> bool {
         spec.after
             .iter()
-            .all(|on| self.steps.get(*on as usize).is_some_and(|on| on.left == 0))
+            .all(|on| self.steps.get(*on as usize).is_some_and(|s| s.undone == 0))
     }
 
-    /// Whether everything is done.
+    /// Whether all steps are done.
     pub fn is_done(&self) -> bool {
-        self.steps.iter().all(|step| step.left == 0)
+        self.steps.iter().all(|step| step.undone == 0)
     }
 }
 
-/// One job.
+/// State of a job.
 #[derive(Clone, Debug)]
 pub(super) struct Job {
     pub record: JobRecord,
-    pub chains: Vec<Millis>,
-    pub arrived: Monotonic,
+    /// Critical path from each step, in milliseconds.
+    pub critical_paths: Vec<Millis>,
+    /// Acceptance on this process's clock.
+    pub accepted_at: Monotonic,
     pub rounds: Vec<Round>,
     /// Repetitions that have begun.
     pub begun: u32,
     pub state: JobState,
-    /// State that the store holds.
-    pub shown: JobState,
+    /// State that callers are shown: a final one only once the store holds it.
+    pub visible_state: JobState,
     pub has_started: bool,
+    /// Number of changes so far.
     pub version: u64,
-    pub written: u64,
+    /// Version that the store holds.
+    pub stored_version: u64,
     pub is_dirty: bool,
 }
 
@@ -98,15 +105,15 @@
     pub fn new(record: JobRecord, now: Now) -> Self {
         let age = now.wall_ms.saturating_sub(record.accepted_ms);
         let mut job = Self {
-            chains: wait::chains(&record.spec),
-            arrived: now.at - age,
+            critical_paths: step_order::critical_paths(&record.spec),
+            accepted_at: now.at - age,
             rounds: Vec::new(),
             begun: 0,
             state: JobState::Queued,
-            shown: JobState::Queued,
+            visible_state: JobState::Queued,
             has_started: false,
             version: 0,
-            written: 0,
+            stored_version: 0,
             is_dirty: false,
             record,
         };
@@ -114,7 +121,7 @@
         job
     }
 
-    /// A job of which only the outcome is known.
+    /// Creates a job of which only the outcome is known.
     pub fn ended(state: JobState, now: Now) -> Self {
         let record = JobRecord {
             queue: Queue {
@@ -135,11 +142,11 @@
         let mut job = Self::new(record, now);
         job.rounds.clear();
         job.state = state;
-        job.shown = state;
+        job.visible_state = state;
         job
     }
 
-    /// Repetitions in all.
+    /// Number of repetitions.
     pub fn times(&self) -> u32 {
         self.record.spec.repeat.map_or(1, |repeat| repeat.times)
     }
@@ -163,17 +170,17 @@
         self.begun += 1;
     }
 
-    /// Round of that number, if it is in progress.
+    /// Round of that number, if it has begun.
     pub fn round_mut(&mut self, number: u32) -> Option<&mut Round> {
         self.rounds.iter_mut().find(|round| round.number == number)
     }
 
-    /// Step, if its round is in progress.
+    /// Step, if its round has begun.
     pub fn step_mut(&mut self, round: u32, step: u32) -> Option<&mut Step> {
         self.round_mut(round)?.steps.get_mut(step as usize)
     }
 
-    /// Task, if its round is in progress.
+    /// Task, if its round has begun.
     pub fn task_mut(&mut self, round: u32, step: u32, index: u32) -> Option<&mut Task> {
         self.step_mut(round, step)?.tasks.get_mut(index as usize)
     }
@@ -185,12 +192,12 @@
         tasks.flat_map(|task| task.runs.iter().copied())
     }
 
-    /// Declaration of a step.
+    /// Specification of a step.
     pub fn step_spec(&self, step: u32) -> Option<&StepSpec> {
         self.record.spec.steps.get(step as usize)
     }
 
-    /// Whether nothing is left to do or to stop.
+    /// Whether no run may still be running.
     pub fn is_idle(&self) -> bool {
         self.runs().next().is_none()
     }
--- a/crates/verbenahitch/src/dispatch/worker.rs
+++ b/crates/verbenahitch/src/dispatch/worker.rs
@@ -1,10 +1,10 @@
-//! Workers as the dispatcher sees them: what they offer, what they were told,
-//! and until when they may still be at work on it.
+//! State that the dispatcher keeps of workers and runs: capacity, commitments, the
+//! leases that a worker was given, and when these have lapsed at the latest.
 
 use slotmap::new_key_type;
 
+use super::interference::{ImageId, MitigationState};
 use super::job::{Amount, JobId, TaskId};
-use super::press::{ImageId, Relief};
 use crate::collections::HashSet;
 use crate::domain::{Millis, Monotonic};
 
@@ -15,87 +15,91 @@
     pub struct RunKey;
 }
 
-/// How much slower than real time a worker's clock may go.
+/// Fraction by which a worker's clock may run slower than real time.
 const CLOCK_DRIFT: f64 = 0.02;
 
-/// Added to the end of a lease before it counts as over, in milliseconds:
-/// a worker stops its tasks on a timer that fires a little late.
+/// Time that is added to the end of a lease before it counts as lapsed, in
+/// milliseconds: the timer by which a worker stops its tasks fires a little late.
 const LAPSE_MARGIN_MS: Millis = 150;
 
-/// What a worker says of itself in the registry.
+/// Registry entry of a worker.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WorkerInfo {
     /// Name in the registry.
     pub name: String,
     /// Pool that it belongs to.
     pub pool: String,
-    /// Address of its interface.
+    /// Address at which it takes calls.
     pub address: String,
     /// Availability zone.
     pub zone: String,
-    /// Kind and rack.
+    /// Kind of the worker, then its rack.
     pub labels: Vec<String>,
-    /// What it offers.
+    /// Resources that it offers.
     pub capacity: Amount,
-    /// Whether it is about to leave.
+    /// Whether it drains, to leave soon.
     pub draining: bool,
-    /// Least time until it leaves, in milliseconds, while it drains.
+    /// Minimum time until it leaves, in milliseconds, while it drains.
     pub remaining_ms: Millis,
-    /// Start of its life in milliseconds since the Unix epoch, zero if unknown.
+    /// Start of its incarnation in milliseconds since the Unix epoch, zero if unknown.
     pub born: u64,
 }
 
-/// A worker's clock, read with the last answer.
+/// Reading of a worker's clock, from its last answer.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockReading {
     /// The worker's clock in milliseconds.
-    pub theirs: Millis,
-    /// Receipt of the answer.
+    pub clock_ms: Millis,
+    /// When the answer arrived.
     pub at: Monotonic,
 }
 
-/// An end that the worker lists until it is acknowledged.
+/// End that the worker lists until it is acknowledged.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct ListedEnd {
+pub(super) struct UnackedEnd {
     pub number: u64,
     pub job: JobId,
+    /// Version of the job that reflects the end.
     pub version: u64,
 }
 
-/// One worker.
+/// State of a worker.
 #[derive(Debug, Default)]
 pub(super) struct Worker {
     pub info: WorkerInfo,
     /// Whether the registry lists it.
     pub listed: bool,
-    /// Without fillers' processors.
+    /// Resources of its runs, without the CPU of fillers.
     pub committed: Amount,
-    /// Processors of fillers in thousandths.
-    pub filling: u64,
+    /// CPU of its fillers in thousandths of a core.
+    pub filler_milli: u64,
     pub runs: HashSet<RunKey>,
     pub clock: Option<ClockReading>,
-    /// Latest end of the leases that it was ever sent, on its clock.
+    /// Latest lease end that it was sent, on its clock.
     pub lease_end: Millis,
-    /// Last answered look, by the time it was sent.
-    pub answered: Option<Monotonic>,
-    pub look_sent: Option<Monotonic>,
-    pub next_look: Monotonic,
-    pub failed_looks: u32,
-    /// Ends taken in and not yet acknowledged.
-    pub listed_ends: Vec<ListedEnd>,
-    /// Highest number of an end that was taken in.
-    pub seen_end: u64,
+    /// When the last answered poll was sent.
+    pub answered_at: Option<Monotonic>,
+    /// When the poll in progress was sent.
+    pub poll_sent: Option<Monotonic>,
+    pub next_poll: Monotonic,
+    /// Failed polls in a row.
+    pub failed_polls: u32,
+    /// Ends that were applied and are not yet acknowledged.
+    pub unacked_ends: Vec<UnackedEnd>,
+    /// Highest number of an end that was applied.
+    pub last_end: u64,
+    /// Highest number of an end that is acknowledged.
     pub acked: u64,
-    /// Failures in a row of different jobs.
+    /// Failures in a row, without repeated ones of the same job.
     pub failures: u32,
-    pub last_failure: Option<JobId>,
-    /// Last run that was far slower than its peers, and its job.
+    pub failed_job: Option<JobId>,
+    /// When a run on it was last found to be far slower than its peers, and its job.
     pub slow_at: Monotonic,
-    pub last_slow: Option<JobId>,
-    pub shunned_until: Monotonic,
-    pub relief: Relief,
-    /// Last time that its tails were learned from.
-    pub observed: Monotonic,
+    pub slow_job: Option<JobId>,
+    pub quarantined_until: Monotonic,
+    pub mitigation: MitigationState,
+    /// When pressures were last learned from its tails.
+    pub observed_at: Monotonic,
 }
 
 impl Worker {
@@ -107,26 +111,26 @@
         }
     }
 
-    /// Whether its last answer is younger than `limit_ms`.
-    pub fn answers(&self, now: Monotonic, limit_ms: Millis) -> bool {
-        self.answered.is_some_and(|at| now.since(at) <= limit_ms)
+    /// Whether it has answered a poll that was sent at most `limit_ms` ago.
+    pub fn answered_within(&self, now: Monotonic, limit_ms: Millis) -> bool {
+        self.answered_at.is_some_and(|at| now.since(at) <= limit_ms)
     }
 
-    /// Reads the clock off an answer.
-    pub fn read_clock(&mut self, theirs: Millis, at: Monotonic) {
-        self.clock = Some(ClockReading { theirs, at });
+    /// Sets the clock reading from an answer.
+    pub fn read_clock(&mut self, clock_ms: Millis, at: Monotonic) {
+        self.clock = Some(ClockReading { clock_ms, at });
     }
 
-    /// End of a lease of `lease_ms` from now on the worker's clock.
+    /// End, on the worker's clock, of a lease of `lease_ms` that begins now.
     pub fn lease_end(&self, now: Monotonic, lease_ms: Millis) -> Option<Millis> {
         let reading = self.clock?;
-        Some(reading.theirs + now.since(reading.at) + lease_ms)
+        Some(reading.clock_ms + now.since(reading.at) + lease_ms)
     }
 
-    /// Instant at which everything that it was told has surely lapsed.
+    /// When all leases that it was sent have lapsed, even on the slowest clock allowed for.
     pub fn lapsed_at(&self) -> Option<Monotonic> {
         let reading = self.clock?;
-        let left = self.lease_end.saturating_sub(reading.theirs);
+        let left = self.lease_end.saturating_sub(reading.clock_ms);
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
@@ -142,31 +146,31 @@
         self.info.labels.get(1).map_or("", String::as_str)
     }
 
-    /// Forgets what belonged to an earlier life.
-    pub fn begin_life(&mut self, born: u64) {
+    /// Resets the state that belonged to an earlier incarnation.
+    pub fn reset_incarnation(&mut self, born: u64) {
         self.info.born = born;
         self.clock = None;
         self.lease_end = 0;
-        self.listed_ends.clear();
-        self.seen_end = 0;
+        self.unacked_ends.clear();
+        self.last_end = 0;
         self.acked = 0;
         self.failures = 0;
-        self.shunned_until = Monotonic::default();
+        self.quarantined_until = Monotonic::default();
     }
 }
 
-/// How far a run has come.
+/// Phase of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
     /// The store does not hold its assignment yet.
     Recording,
-    /// The worker was told to start it and has not confirmed.
+    /// The store holds its assignment; the worker has not confirmed the start.
     Starting,
-    /// The worker has it.
+    /// The worker has confirmed the start, or an earlier owner recorded the run.
     Live,
 }
 
-/// One run of a task on a worker.
+/// State of a run of a task on a worker.
 #[derive(Debug)]
 pub(super) struct Run {
     pub task: TaskId,
@@ -174,48 +178,51 @@
     pub worker: WorkerKey,
     pub amount: Amount,
     pub image: ImageId,
-    /// Processors that it fills, in thousandths.
-    pub filling: u64,
-    /// Whether it serves until its job is cancelled.
+    /// CPU of a filler in thousandths of a core, zero for other tasks.
+    pub filler_milli: u64,
+    /// Whether it runs until its job is cancelled.
     pub standing: bool,
-    /// Target of its tail in milliseconds, zero for none.
+    /// Target of its tail latency in milliseconds, zero for none.
     pub target_ms: Millis,
     pub phase: Phase,
-    /// Version of the job that first shows the assignment.
+    /// First version of the job that includes the assignment.
     pub recorded_in: u64,
     /// When the worker confirmed its start or its stop.
-    pub confirmed: Option<Monotonic>,
-    /// Whether it was found by a take-over and not yet seen at its worker.
+    pub confirmed_at: Option<Monotonic>,
+    /// Whether it comes from an earlier owner's record and no poll has listed it yet.
     pub inherited: bool,
     /// Whether it is to be stopped.
-    pub stop: bool,
+    pub stop_wanted: bool,
     /// When the worker confirmed the stop.
-    pub stopped: Option<Monotonic>,
-    /// Whether an order for it is on its way.
-    pub busy: bool,
+    pub stopped_at: Option<Monotonic>,
+    /// Whether an order for it has not been answered yet.
+    pub in_flight: bool,
     pub retry_at: Monotonic,
+    /// Number of start orders sent.
     pub tries: u32,
-    pub started: Monotonic,
-    /// Whether it went on from a checkpoint.
+    pub started_at: Monotonic,
+    /// Whether it resumed from a checkpoint.
     pub resumed: bool,
-    pub percent: u8,
-    /// When its worker listed it last.
+    /// Reported progress in percent; 100 for a standing task that serves.
+    pub progress: u8,
+    /// When a poll last listed it.
     pub seen_at: Monotonic,
-    /// When its percentage changed last.
-    pub moved_at: Monotonic,
-    /// Share of its processors in force, in percent.
+    /// When its progress or its pace last changed.
+    pub progressed_at: Monotonic,
+    /// Percentage of its CPU that it may use, as the worker has confirmed.
     pub pace: u8,
-    /// Share of its processors that it is to have, in percent.
+    /// Percentage of its CPU that it is to be given.
     pub wanted_pace: u8,
+    /// Last reported tail latency in milliseconds.
     pub tail_ms: Millis,
 }
 
 impl Run {
-    /// Whether its worker is to be told something.
+    /// Whether an order to its worker is needed.
     pub fn is_due(&self) -> bool {
-        match (self.phase, self.stop) {
+        match (self.phase, self.stop_wanted) {
             (Phase::Recording, _) => false,
-            (_, true) => self.stopped.is_none(),
+            (_, true) => self.stopped_at.is_none(),
             (Phase::Starting, false) => true,
             (Phase::Live, false) => self.wanted_pace != self.pace,
         }
--- a/testsuite/tests/testsuite/dispatch/truth.rs
+++ b/testsuite/tests/testsuite/dispatch/execution.rs
@@ -1,4 +1,5 @@
-//! Each task runs where and as often as it should.
+//! Execution of tasks: order of steps, commits before starts and acknowledgements,
+//! cancels, restarts and failures.
 
 use verbenahitch::dispatch::JobState;
 
@@ -14,24 +15,24 @@
     assert_eq!(world.state(id), Some(JobState::Completed));
     let starts = world.starts_of(id);
     assert_eq!(starts.len(), 8);
-    let first_end = starts.iter().filter(|start| start.task.step == 0).count();
-    assert_eq!(first_end, 5);
-    let begun = |step| {
+    let first_step = starts.iter().filter(|start| start.task.step == 0).count();
+    assert_eq!(first_step, 5);
+    let started_at = |step| {
         let of_step = starts.iter().filter(move |start| start.task.step == step);
         of_step.map(|start| start.at)
     };
-    assert!(begun(1).min().unwrap() >= begun(0).max().unwrap() + 400);
+    assert!(started_at(1).min().unwrap() >= started_at(0).max().unwrap() + 400);
 }
 
 #[test]
 fn nothing_starts_before_the_store_holds_its_assignment() {
     let mut world = World::new(2);
     world.run(500);
-    world.store = false;
+    world.store_up = false;
     let id = world.submit(1, "push", job(vec![step(2, 1, 400)]));
     world.run(1_000);
     assert!(world.starts_of(id).is_empty());
-    world.store = true;
+    world.store_up = true;
     world.run(1_000);
     assert_eq!(world.starts_of(id).len(), 2);
 }
@@ -41,23 +42,23 @@
     let mut world = World::new(1);
     let id = world.submit(1, "push", job(vec![step(1, 1, 400)]));
     world.run(300);
-    world.store = false;
+    world.store_up = false;
     world.run(1_200);
-    assert_eq!(world.workers["w00"].ends, 1);
+    assert_eq!(world.workers["w00"].last_end, 1);
     assert_eq!(world.acked["w00"], 0);
     assert_ne!(world.state(id), Some(JobState::Completed));
-    world.store = true;
+    world.store_up = true;
     world.run(1_200);
     assert_eq!(world.acked["w00"], 1);
     assert_eq!(world.state(id), Some(JobState::Completed));
 }
 
 #[test]
-fn a_start_without_an_answer_is_not_made_elsewhere() {
+fn an_unanswered_start_is_not_repeated_elsewhere() {
     let mut world = World::new(3);
     world.run(500);
     for worker in world.workers.values_mut() {
-        worker.mute_starts = true;
+        worker.drops_start_answers = true;
     }
     let id = world.submit(1, "push", job(vec![step(2, 1, 600)]));
     world.run(2_500);
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn no_worker_is_committed_beyond_its_processors() {
+fn no_worker_is_committed_beyond_its_cpu() {
     let mut world = World::new(3);
     for number in 0..20 {
         world.submit(number, "push", job(vec![step(4, 3, 700)]));
@@ -85,17 +86,21 @@
     let mut world = World::new(2);
     let id = world.submit(1, "push", job(vec![standing(3, 2, "s")]));
     world.run(1_000);
-    assert_eq!(world.places(id).len(), 1, "one image gathers");
+    assert_eq!(
+        world.workers_of(id).len(),
+        1,
+        "tasks of one image share a worker"
+    );
     let now = world.clock();
     world.dispatcher.cancel(id, now.at);
     world.run(500);
-    assert!(world.places(id).is_empty());
+    assert!(world.workers_of(id).is_empty());
     assert_eq!(world.state(id), Some(JobState::Cancelled));
     assert_eq!(world.starts_of(id).len(), 3);
 }
 
 #[test]
-fn a_cancel_that_comes_before_its_job_holds() {
+fn a_cancel_before_its_job_takes_effect() {
     let mut world = World::new(2);
     let now = world.clock();
     world
@@ -112,12 +117,12 @@
     let mut world = World::new(3);
     let id = world.submit(1, "push", job(vec![standing(1, 2, "s")]));
     world.run(600);
-    let place = (*world.places(id).first().unwrap()).to_owned();
-    world.workers.get_mut(&place).unwrap().failing = true;
+    let worker = (*world.workers_of(id).first().unwrap()).to_owned();
+    world.workers.get_mut(&worker).unwrap().failing = true;
     world.run(1_500);
-    world.workers.get_mut(&place).unwrap().failing = false;
+    world.workers.get_mut(&worker).unwrap().failing = false;
     world.run(500);
-    assert_eq!(world.places(id).len(), 1);
+    assert_eq!(world.workers_of(id).len(), 1);
     assert!(world.starts_of(id).len() >= 2);
 }
 
--- a/testsuite/tests/testsuite/dispatch/load.rs
+++ b/testsuite/tests/testsuite/dispatch/load.rs
@@ -1,12 +1,12 @@
-//! The loads that each decision answers, replayed.
+//! The load patterns that the decisions of the dispatcher are made for.
 
 use std::time::{Duration, Instant};
 
 use super::world::{World, filler, job, standing, step};
 
-/// Eight standing jobs that fit nowhere must not hold up what stands behind them.
+/// Standing jobs that fit nowhere must not block the steps behind them.
 #[test]
-fn steps_without_a_place_hold_up_nothing_else() {
+fn steps_without_a_place_block_no_others() {
     let mut world = World::new(4);
     for number in 0..10 {
         world.submit(number, "push", job(vec![standing(1, 15, "large")]));
@@ -17,13 +17,14 @@
     assert!(world.finished.contains_key(&small));
 }
 
-/// Harmful fillers beside many standing tasks: tails are relieved within the bound
-/// of three and a half seconds, and the batch work is finished.
+/// Harmful fillers on workers with many standing tasks: once the pressures are
+/// learned, tails exceed their target for little time, and all batch work is finished.
+/// The bound on the time that a tail may exceed its target is three and a half seconds.
 #[test]
 fn harmful_fillers_are_kept_from_the_images_they_slow() {
     let mut world = World::new(8);
     let pair = ("heavy".to_owned(), "weak".to_owned());
-    world.harm.insert(pair, 12.0);
+    world.pressures.insert(pair, 12.0);
     for number in 0..3 {
         world.submit(number, "push", job(vec![standing(3, 4, "weak")]));
         world.submit(10 + number, "push", job(vec![standing(3, 4, "strong")]));
@@ -44,16 +45,16 @@
     world.run(6_000);
     let done = fillers.iter().filter(|id| world.finished.contains_key(id));
     assert_eq!(done.count(), fillers.len());
-    // Nine standing tasks of the image, twenty seconds.
+    // Nine standing tasks of the image run for twenty seconds; one percent of that.
     assert!(learned <= 9 * 20_000 / 100, "{learned} ms over the target");
 }
 
-/// What was learned of images is still known after a change of the owner.
+/// A new owner restores the learned pressures without loss.
 #[test]
 fn learned_pressures_survive_a_change_of_the_owner() {
     let mut world = World::new(2);
     let pair = ("heavy".to_owned(), "weak".to_owned());
-    world.harm.insert(pair, 12.0);
+    world.pressures.insert(pair, 12.0);
     world.submit(1, "push", job(vec![standing(6, 4, "weak")]));
     world.run(1_000);
     for wave in 0..6 {
@@ -71,9 +72,10 @@
     assert_eq!(world.dispatcher.learned(), learned);
 }
 
-/// A tenth of the workers turns six times slower, while their looks are answered.
+/// A tenth of the workers slow down by a factor of six but still answer polls; their
+/// tasks must restart elsewhere for the jobs to finish in time.
 #[test]
-fn tasks_on_slow_workers_are_overtaken() {
+fn tasks_on_slow_workers_restart_elsewhere() {
     let mut world = World::new(10);
     world.run(500);
     world.workers.get_mut("w03").unwrap().speed = 0.15;
@@ -92,9 +94,9 @@
     }
 }
 
-/// One worker fails all that it starts, and looks idle for it.
+/// A worker that fails every run looks idle and must not attract tasks.
 #[test]
-fn a_worker_that_fails_everything_gets_little() {
+fn a_worker_that_fails_every_run_gets_few_tasks() {
     let mut world = World::new(6);
     world.run(500);
     world.workers.get_mut("w02").unwrap().failing = true;
@@ -104,13 +106,16 @@
     }
     world.run(2_000);
     let wasted = world.starts.iter().filter(|start| start.worker == "w02");
-    assert!(wasted.count() <= 20, "a sixth would be 27 and more");
+    assert!(
+        wasted.count() <= 20,
+        "an even share would be at least 27 starts"
+    );
     assert_eq!(world.finished.len(), 40);
 }
 
-/// Tasks on a worker stand still for good.
+/// The runs on a worker stall permanently while it answers polls.
 #[test]
-fn tasks_that_stand_still_start_elsewhere() {
+fn stalled_tasks_restart_elsewhere() {
     let mut world = World::new(4);
     world.run(500);
     world.workers.get_mut("w01").unwrap().speed = 0.0;
@@ -119,10 +124,10 @@
     assert!(world.finished.contains_key(&id));
 }
 
-/// A burst of batch work of three times what is idle: the order is kept, and what
-/// runs gets its processors whole.
+/// A burst of batch work of three times the idle CPU: jobs run in order with all the
+/// CPU that they request, instead of sharing it.
 #[test]
-fn a_burst_is_worked_off_in_order() {
+fn a_burst_is_processed_in_order() {
     let mut world = World::new(4);
     world.run(500);
     let jobs: Vec<_> = (0..12)
@@ -130,15 +135,18 @@
         .collect();
     world.run(1_500);
     let early = jobs.iter().filter(|id| world.finished.contains_key(id));
-    assert!(early.count() >= 3, "shared out, none would be finished yet");
+    assert!(
+        early.count() >= 3,
+        "if all jobs shared the CPU, none would have finished yet"
+    );
     world.run(5_000);
     assert_eq!(world.finished.len(), 12);
 }
 
-/// Fillers with much memory on every worker, then urgent work that needs memory for
-/// the processors that are free.
+/// Fillers with much memory run on every worker. Urgent tasks that arrive later must
+/// find memory for the uncommitted CPU.
 #[test]
-fn fillers_leave_memory_for_the_processors_that_are_free() {
+fn fillers_leave_memory_for_the_uncommitted_cpu() {
     let mut world = World::new(4);
     world.run(500);
     let mut large = filler(24, 1, 4_000, "f");
@@ -156,33 +164,36 @@
     assert!(world.finished.contains_key(&batch));
 }
 
-/// Every processor is committed, fresh urgent work never stops, and a standing task
-/// fails that was submitted long ago.
+/// All CPU is committed and urgent jobs keep arriving when a standing task of an old
+/// job fails; it must be placed before them.
 #[test]
-fn a_standing_task_that_fails_gets_the_next_place() {
+fn a_failed_standing_task_gets_the_next_free_place() {
     let mut world = World::new(2);
-    let lasting = world.submit(1, "push", job(vec![standing(2, 4, "s")]));
+    let standing_job = world.submit(1, "push", job(vec![standing(2, 4, "s")]));
     world.run(5_000);
     let mut count = 0;
-    let mut press = |world: &mut World, millis: u64| {
+    let mut submit_urgent = |world: &mut World, millis: u64| {
         for _ in 0..millis / 100 {
             count += 1;
             world.submit(100 + count, "push", job(vec![step(2, 4, 600)]));
             world.run(100);
         }
     };
-    press(&mut world, 1_000);
-    let place = (*world.places(lasting).first().unwrap()).to_owned();
-    world.workers.get_mut(&place).unwrap().failing = true;
-    press(&mut world, 300);
-    world.workers.get_mut(&place).unwrap().failing = false;
-    press(&mut world, 2_500);
+    submit_urgent(&mut world, 1_000);
+    let worker = (*world.workers_of(standing_job).first().unwrap()).to_owned();
+    world.workers.get_mut(&worker).unwrap().failing = true;
+    submit_urgent(&mut world, 300);
+    world.workers.get_mut(&worker).unwrap().failing = false;
+    submit_urgent(&mut world, 2_500);
     let running = world.workers.values().flat_map(|worker| &worker.runs);
-    assert_eq!(running.filter(|run| run.task.job == lasting).count(), 2);
+    assert_eq!(
+        running.filter(|run| run.task.job == standing_job).count(),
+        2
+    );
 }
 
-/// A wide burst on a large fleet: deciding on it takes a small part of the 300 ms
-/// that the shortest objective leaves beyond the work, also in an unoptimised build.
+/// A burst of wide steps on many workers: one pass takes a small part of the 300 ms
+/// that the shortest objective leaves beyond the run time, even in a debug build.
 #[test]
 fn a_burst_on_a_large_fleet_is_placed_quickly() {
     let took = (0..3).map(|_| {
@@ -196,14 +207,14 @@
         world.dispatcher.pass(now);
         began.elapsed()
     });
-    let least = took.min().expect("it was tried");
+    let least = took.min().expect("three passes were timed");
     assert!(least <= Duration::from_millis(100), "{least:?}");
 }
 
-/// Many short tasks beside a store that takes a tenth of a second for a commit: a
-/// worker is looked at once for each end, and not again until that is stored.
+/// Many short tasks with a store that takes 100 ms for a commit: a worker is polled
+/// once for each end, and not again until the store holds the end.
 #[test]
-fn ends_that_wait_for_the_store_cause_no_more_looks() {
+fn uncommitted_ends_cause_no_extra_polls() {
     let mut world = World::new(5);
     world.commit_ms = 100;
     world.run(500);
@@ -213,7 +224,7 @@
     }
     world.run(2_000);
     assert_eq!(world.finished.len(), 40);
-    // One for each end, one to acknowledge it, and one in 700 ms for 6.5 s.
+    // One poll for each end, one to acknowledge it, and one every 700 ms for 6.5 s.
     let most = 2 * 200 + 5 * 10;
-    assert!(world.look_count <= most, "{} of {most}", world.look_count);
+    assert!(world.poll_count <= most, "{} of {most}", world.poll_count);
 }
--- a/testsuite/tests/testsuite/dispatch/mod.rs
+++ b/testsuite/tests/testsuite/dispatch/mod.rs
@@ -1,7 +1,7 @@
-//! Dispatching: order, placing, relief, recovery, on the decision logic alone.
+//! Tests of the dispatcher with simulated workers and a simulated store.
 
+mod execution;
 mod load;
 mod order;
 mod recovery;
-mod truth;
 mod world;
--- a/testsuite/tests/testsuite/dispatch/order.rs
+++ b/testsuite/tests/testsuite/dispatch/order.rs
@@ -3,53 +3,53 @@
 use std::cmp::Ordering;
 
 use test_case::test_case;
-use verbenahitch::dispatch::wait::{Standing, chains};
+use verbenahitch::dispatch::step_order::{StepRank, critical_paths};
 use verbenahitch::dispatch::{JobSpec, StepSpec};
 
 struct Case {
-    first: Standing,
-    second: Standing,
+    first: StepRank,
+    second: StepRank,
 }
 
-const FRESH: Standing = Standing {
+const FRESH: StepRank = StepRank {
     priority: 2,
     age_ms: 0,
-    left_ms: 1_000,
+    remaining_ms: 1_000,
     objective_ms: 3_000,
-    lasting: false,
+    standing: false,
 };
 
 #[test_case(Case {
-    first: Standing { priority: 0, age_ms: 9_000, ..FRESH },
+    first: StepRank { priority: 0, age_ms: 9_000, ..FRESH },
     second: FRESH,
-}; "priority goes before what can be earned")]
+}; "priority precedes the deadline")]
 #[test_case(Case {
     first: FRESH,
-    second: Standing { age_ms: 2_500, ..FRESH },
-}; "what can be in time goes before what is late")]
+    second: StepRank { age_ms: 2_500, ..FRESH },
+}; "an on time step precedes a late one")]
 #[test_case(Case {
-    first: Standing { age_ms: 1_500, ..FRESH },
+    first: StepRank { age_ms: 1_500, ..FRESH },
     second: FRESH,
-}; "the least slack goes first")]
+}; "less slack precedes more")]
 #[test_case(Case {
-    first: Standing { age_ms: 4_000, ..FRESH },
-    second: Standing { age_ms: 8_500, ..FRESH },
-}; "what is late goes before what earns nothing")]
+    first: StepRank { age_ms: 4_000, ..FRESH },
+    second: StepRank { age_ms: 8_500, ..FRESH },
+}; "a late step precedes one without value")]
 #[test_case(Case {
-    first: Standing { age_ms: 9_500, ..FRESH },
-    second: Standing { age_ms: 4_000, ..FRESH },
-}; "what has waited very long goes before what is late")]
+    first: StepRank { age_ms: 9_500, ..FRESH },
+    second: StepRank { age_ms: 4_000, ..FRESH },
+}; "a starved step precedes a late one")]
 #[test_case(Case {
-    first: Standing { age_ms: 60_000, lasting: true, ..FRESH },
-    second: Standing { age_ms: 2_000, ..FRESH },
-}; "a lasting task that is away goes before all of its priority")]
-fn goes_before(case: Case) {
+    first: StepRank { age_ms: 60_000, standing: true, ..FRESH },
+    second: StepRank { age_ms: 2_000, ..FRESH },
+}; "a standing step precedes all others of its priority")]
+fn precedes(case: Case) {
     assert_eq!(case.first.compare(&case.second), Ordering::Less);
     assert_eq!(case.second.compare(&case.first), Ordering::Greater);
 }
 
 #[test]
-fn chains_follow_the_longest_way() {
+fn critical_paths_follow_the_longest_chain() {
     let step = |estimate_ms, after: &[u32]| StepSpec {
         count: 1,
         estimate_ms,
@@ -66,5 +66,5 @@
         ],
         repeat: None,
     };
-    assert_eq!(chains(&spec), vec![850, 750, 250, 50]);
+    assert_eq!(critical_paths(&spec), vec![850, 750, 250, 50]);
 }
--- a/testsuite/tests/testsuite/dispatch/recovery.rs
+++ b/testsuite/tests/testsuite/dispatch/recovery.rs
@@ -1,4 +1,4 @@
-//! Lost workers, and changes of the owner.
+//! Recovery after the loss of workers and after a change of the owner.
 
 use verbenahitch::dispatch::JobState;
 
@@ -9,19 +9,22 @@
     let mut world = World::new(3);
     let id = world.submit(1, "push", job(vec![step(1, 1, 20_000)]));
     world.run(1_000);
-    let place = world.starts_of(id)[0].worker.clone();
-    world.workers.get_mut(&place).unwrap().silent = true;
-    let cut = world.now;
+    let worker = world.starts_of(id)[0].worker.clone();
+    world.workers.get_mut(&worker).unwrap().silent = true;
+    let silent_since = world.now;
     world.run(8_000);
     let starts = world.starts_of(id);
     assert_eq!(starts.len(), 2);
-    let held = world.workers[&place].lease_end;
-    assert!(starts[1].at >= held, "the first run may still be at work");
-    assert!(starts[1].at <= cut + BOUNDS.lease_ms + 500);
+    let lease_end = world.workers[&worker].lease_end;
+    assert!(
+        starts[1].at >= lease_end,
+        "the first run may still be running"
+    );
+    assert!(starts[1].at <= silent_since + BOUNDS.lease_ms + 500);
 }
 
 #[test]
-fn a_successor_goes_on_with_what_runs() {
+fn a_successor_continues_running_tasks() {
     let mut world = World::new(3);
     let id = world.submit(1, "batch", job(vec![step(4, 1, 3_000)]));
     world.run(1_000);
@@ -32,11 +35,11 @@
 }
 
 #[test]
-fn a_successor_starts_what_its_predecessor_recorded_and_never_ordered() {
+fn a_successor_starts_assignments_that_were_recorded_but_not_ordered() {
     let mut world = World::new(3);
     world.run(500);
     let id = world.submit(1, "batch", job(vec![step(2, 1, 500)]));
-    // Up to the commit of the assignment, but not to the order.
+    // Stops after the commit of the assignment and before the start order.
     while world.records.is_empty() {
         world.run(5);
     }
@@ -56,44 +59,44 @@
     let mut world = World::new(4);
     let id = world.submit(1, "batch", job(vec![step(1, 1, 30_000)]));
     world.run(1_000);
-    let place = world.starts_of(id)[0].worker.clone();
-    world.workers.get_mut(&place).unwrap().silent = true;
+    let worker = world.starts_of(id)[0].worker.clone();
+    world.workers.get_mut(&worker).unwrap().silent = true;
     world.take_over();
-    let taken = world.now;
+    let taken_over = world.now;
     world.run(12_000);
     let starts = world.starts_of(id);
     assert_eq!(starts.len(), 2);
-    assert!(starts[1].at >= taken + BOUNDS.lease_ms + BOUNDS.quorum_ms);
+    assert!(starts[1].at >= taken_over + BOUNDS.lease_ms + BOUNDS.quorum_ms);
 }
 
 #[test]
-fn an_owner_without_store_and_most_workers_extends_nothing() {
+fn an_owner_without_store_and_most_workers_extends_no_leases() {
     let mut world = World::new(4);
     world.submit(1, "batch", job(vec![step(4, 6, 60_000)]));
     world.run(1_000);
-    world.store = false;
+    world.store_up = false;
     for name in ["w00", "w01", "w02"] {
         world.workers.get_mut(name).unwrap().silent = true;
     }
     world.run(3_500);
-    let held = world.workers["w03"].lease_end;
+    let lease_end = world.workers["w03"].lease_end;
     world.run(1_000);
-    assert_eq!(world.workers["w03"].lease_end, held);
+    assert_eq!(world.workers["w03"].lease_end, lease_end);
 }
 
 #[test]
-fn an_owner_without_the_store_goes_on_with_most_workers() {
+fn an_owner_without_the_store_continues_with_most_workers() {
     let mut world = World::new(4);
     let id = world.submit(1, "batch", job(vec![step(2, 6, 60_000)]));
     world.run(1_000);
-    world.store = false;
+    world.store_up = false;
     world.run(10_000);
-    assert_eq!(world.places(id).len(), 2);
+    assert_eq!(world.workers_of(id).len(), 2);
     assert_eq!(world.starts_of(id).len(), 2);
 }
 
 #[test]
-fn an_owner_that_a_worker_has_fenced_orders_nothing() {
+fn a_fenced_owner_orders_nothing() {
     let mut world = World::new(2);
     world.run(500);
     for worker in world.workers.values_mut() {
--- a/testsuite/tests/testsuite/dispatch/world/jobs.rs
+++ b/testsuite/tests/testsuite/dispatch/world/jobs.rs
@@ -1,9 +1,9 @@
-//! Jobs and queues of the tests.
+//! Jobs and queues for the tests.
 
 use verbenahitch::dispatch::{Amount, JobSpec, Queue, StepSpec};
 use verbenahitch::domain::Millis;
 
-/// Limit of the tail latency of a standing task, in milliseconds.
+/// Target of the tail latency of a standing task, in milliseconds.
 pub const TARGET_MS: Millis = 20;
 
 pub fn queue(name: &str, priority: u32) -> Queue {
--- a/testsuite/tests/testsuite/dispatch/world/mod.rs
+++ b/testsuite/tests/testsuite/dispatch/world/mod.rs
@@ -1,8 +1,9 @@
-//! Workers and a store as the dispatcher sees them, on a clock set by hand.
+//! Simulated workers and store that drive the dispatcher on a simulated clock.
 //!
-//! The model of work is one page: a run works at its worker's speed, a filler at
-//! its pace, and the tail of a standing task grows by the logarithm of the shares
-//! of the fillers that harm its image. The dispatcher sees only reports.
+//! A run progresses at its worker's speed times its pace. The logarithm of a standing
+//! task's tail grows by the sum, over the fillers on its worker, of the pressure on
+//! its image times the filler's share of the CPU. The dispatcher learns of this only
+//! through reports.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,24 +19,24 @@
 pub use jobs::{TARGET_MS, filler, job, queue, standing, step};
 pub use worker::{FakeRun, FakeWorker};
 
-/// One step of the clock in milliseconds.
+/// Step of the clock in milliseconds.
 const TICK_MS: Millis = 5;
 
-/// Way to a worker and back, and of a commit, in milliseconds.
+/// Round trip of a call to a worker, and default time of a commit, in milliseconds.
 const CALL_MS: Millis = 5;
 
-/// Tail over target of a standing task alone.
-const ALONE: f64 = 0.4;
+/// Tail latency divided by target of a standing task without fillers.
+const BASELINE_RATIO: f64 = 0.4;
 
 enum Event {
-    Looked(WorkerKey, Result<Report, CallFailure>),
+    Polled(WorkerKey, Result<Report, CallFailure>),
     Started(RunKey, Result<Millis, CallFailure>),
     Stopped(RunKey, Result<Millis, CallFailure>),
     Paced(RunKey, u8),
     Written,
 }
 
-/// A start that a worker carried out.
+/// Start that a worker carried out.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Started {
     pub at: Millis,
@@ -49,22 +50,23 @@
     pub dispatcher: Dispatcher,
     pub workers: BTreeMap<String, FakeWorker>,
     pub specs: BTreeMap<JobId, JobSpec>,
-    /// Growth of tails for a whole worker, by image of filler and standing task.
-    pub harm: BTreeMap<(String, String), f64>,
+    /// Actual pressures, by images of the filler and the standing task: growth of the tail
+    /// if the filler used a whole worker, as a logarithm.
+    pub pressures: BTreeMap<(String, String), f64>,
     pub starts: Vec<Started>,
     pub records: BTreeMap<JobId, Write>,
     /// Whether the store answers.
-    pub store: bool,
-    /// Time that the store takes for a commit.
+    pub store_up: bool,
+    /// Time that the store takes for a commit, in milliseconds.
     pub commit_ms: Millis,
     pub acked: BTreeMap<String, u64>,
-    /// Looks at all workers.
-    pub look_count: usize,
+    /// Number of polls of all workers.
+    pub poll_count: usize,
     pub fence: u64,
-    /// Milliseconds that standing tasks were over their target.
+    /// Time that standing tasks were over their target, summed over the tasks.
     pub over_ms: Millis,
     pub finished: BTreeMap<JobId, Millis>,
-    looks: Vec<(Millis, Look)>,
+    polls: Vec<(Millis, Look)>,
     events: Vec<(Millis, Event)>,
     writing: Vec<Write>,
 }
@@ -76,24 +78,24 @@
 };
 
 impl World {
-    /// A world with `count` workers of 16 cores.
+    /// Creates a world with `count` workers of 16 cores.
     pub fn new(count: usize) -> Self {
         let mut world = Self {
             now: 10_000,
             dispatcher: Dispatcher::new(BOUNDS, Monotonic(10_000)),
             workers: BTreeMap::new(),
             specs: BTreeMap::new(),
-            harm: BTreeMap::new(),
+            pressures: BTreeMap::new(),
             starts: Vec::new(),
             records: BTreeMap::new(),
-            store: true,
+            store_up: true,
             commit_ms: CALL_MS,
             acked: BTreeMap::new(),
-            look_count: 0,
+            poll_count: 0,
             fence: 1,
             over_ms: 0,
             finished: BTreeMap::new(),
-            looks: Vec::new(),
+            polls: Vec::new(),
             events: Vec::new(),
             writing: Vec::new(),
         };
@@ -157,10 +159,10 @@
         id
     }
 
-    /// Replaces the owner: a new one knows the records and the registry.
+    /// Replaces the owner by a new one that reads the records and the registry.
     pub fn take_over(&mut self) {
         self.fence += 1;
-        self.looks.clear();
+        self.polls.clear();
         self.events.clear();
         self.writing.clear();
         self.dispatcher = Dispatcher::new(BOUNDS, Monotonic(self.now));
@@ -187,7 +189,7 @@
     }
 
     /// Workers on which a job has runs.
-    pub fn places(&self, id: JobId) -> BTreeSet<&str> {
+    pub fn workers_of(&self, id: JobId) -> BTreeSet<&str> {
         let workers = self.workers.values();
         let has = |worker: &&FakeWorker| worker.runs.iter().any(|run| run.task.job == id);
         workers
@@ -205,16 +207,16 @@
 
     fn tick(&mut self) {
         self.now += TICK_MS;
-        self.work();
-        self.answer_looks();
+        self.advance_runs();
+        self.answer_polls();
         self.deliver();
-        if self.store {
+        if self.store_up {
             self.dispatcher.confirm(Monotonic(self.now));
         }
         for order in self.dispatcher.pass(self.clock()) {
-            self.carry_out(order);
+            self.execute(order);
         }
-        if self.store && self.writing.is_empty() {
+        if self.store_up && self.writing.is_empty() {
             self.writing = self.dispatcher.take_writes(16);
             if !self.writing.is_empty() {
                 let at = self.now + self.commit_ms;
@@ -238,7 +240,7 @@
         let at = Monotonic(now);
         for (_, event) in due {
             match event {
-                Event::Looked(key, result) => self.dispatcher.looked(key, result, at),
+                Event::Polled(key, result) => self.dispatcher.looked(key, result, at),
                 Event::Started(key, result) => self.dispatcher.started(key, result, at),
                 Event::Stopped(key, result) => self.dispatcher.stopped(key, result, at),
                 Event::Paced(key, percent) => {
@@ -254,13 +256,13 @@
         }
     }
 
-    fn carry_out(&mut self, order: Order) {
+    fn execute(&mut self, order: Order) {
         let at = self.now + CALL_MS;
         match order {
             Order::Look(look) => {
-                self.look_count += 1;
+                self.poll_count += 1;
                 self.acked.insert(look.name.clone(), look.acked);
-                self.looks.push((self.now + look.wait_ms, look));
+                self.polls.push((self.now + look.wait_ms, look));
             }
             Order::Start(start) => {
                 let key = start.target.key;
@@ -290,7 +292,7 @@
         }
         worker.lease_end = worker.lease_end.max(start.lease_end);
         let (task, run) = (start.target.task, start.target.run);
-        if !worker.runs.iter().any(|held| held.task == task) {
+        if !worker.runs.iter().any(|other| other.task == task) {
             worker.runs.push(FakeRun {
                 task,
                 run,
@@ -304,7 +306,7 @@
                 worker: start.target.name.clone(),
             });
         }
-        if worker.mute_starts {
+        if worker.drops_start_answers {
             return Err(CallFailure::Unanswered("mute".to_owned()));
         }
         Ok(now)
@@ -319,19 +321,19 @@
         Ok(self.now)
     }
 
-    fn answer_looks(&mut self) {
+    fn answer_polls(&mut self) {
         let now = self.now;
-        let looks = std::mem::take(&mut self.looks);
-        for (due, look) in looks {
+        let polls = std::mem::take(&mut self.polls);
+        for (due, look) in polls {
             let worker = &self.workers[&look.name];
             let has_end = worker.ended.iter().any(|end| end.number > look.acked);
             if !worker.silent && !has_end && now < due {
-                self.looks.push((due, look));
+                self.polls.push((due, look));
                 continue;
             }
             let result = self.report(&look);
             self.events
-                .push((now + CALL_MS, Event::Looked(look.worker, result)));
+                .push((now + CALL_MS, Event::Polled(look.worker, result)));
         }
     }
 
@@ -378,7 +380,7 @@
         })
     }
 
-    /// Tails of the standing tasks of a worker, zero for its other runs.
+    /// Tail latencies of a worker's standing tasks in milliseconds, zero for other runs.
     fn tails(&self, name: &str) -> Vec<Millis> {
         let worker = &self.workers[name];
         let spec = |run: &FakeRun| &self.specs[&run.task.job].steps[run.task.step as usize];
@@ -396,7 +398,7 @@
             let growth: f64 = fillers
                 .map(|filler| {
                     let pair = (spec(filler).image.clone(), own.image.clone());
-                    self.harm.get(&pair).copied().unwrap_or(0.0) * share(filler)
+                    self.pressures.get(&pair).copied().unwrap_or(0.0) * share(filler)
                 })
                 .sum();
             #[expect(
@@ -405,13 +407,13 @@
                 clippy::cast_precision_loss,
                 reason = "a few hundred milliseconds"
             )]
-            let tail = (TARGET_MS as f64 * ALONE * growth.exp()) as Millis;
+            let tail = (TARGET_MS as f64 * BASELINE_RATIO * growth.exp()) as Millis;
             tail
         };
         worker.runs.iter().map(tail).collect()
     }
 
-    fn work(&mut self) {
+    fn advance_runs(&mut self) {
         let names: Vec<String> = self.workers.keys().cloned().collect();
         for name in names {
             let over = self.tails(&name).iter().filter(|t| **t > TARGET_MS).count();
--- a/testsuite/tests/testsuite/dispatch/world/worker.rs
+++ b/testsuite/tests/testsuite/dispatch/world/worker.rs
@@ -1,4 +1,4 @@
-//! A worker that runs what it is told.
+//! Simulated worker that carries out orders.
 
 use std::collections::BTreeMap;
 
@@ -17,13 +17,13 @@
     pub info: WorkerInfo,
     pub runs: Vec<FakeRun>,
     pub ended: Vec<EndedEntry>,
-    pub ends: u64,
+    pub last_end: u64,
     pub fence: u64,
     pub lease_end: Millis,
-    /// Does not answer, but works on.
+    /// Answers no calls; its runs continue.
     pub silent: bool,
-    /// Carries starts out without answering them.
-    pub mute_starts: bool,
+    /// Carries out starts without answering them.
+    pub drops_start_answers: bool,
     pub failing: bool,
     pub speed: f64,
 }
@@ -38,9 +38,9 @@
             return;
         };
         let run = self.runs.remove(index);
-        self.ends += 1;
+        self.last_end += 1;
         self.ended.push(EndedEntry {
-            number: self.ends,
+            number: self.last_end,
             task,
             run: run.run,
             cause,
@@ -48,7 +48,7 @@
         });
     }
 
-    /// Cores that its runs commit, without fillers.
+    /// Cores that its runs commit; fillers commit none.
     pub fn committed(&self, specs: &BTreeMap<JobId, JobSpec>) -> u64 {
         let spec = |run: &FakeRun| &specs[&run.task.job].steps[run.task.step as usize];
         let cores = |run: &FakeRun| {
