--- a/crates/verbenahitch/src/entry/lead.rs
+++ b/crates/verbenahitch/src/entry/election.rs
@@ -1,54 +1,54 @@
-//! Election of the owner, by a key under a lease.
+//! Election of the owner by a key attached to a lease.
 //!
-//! Load pattern: an owner that dies, freezes, is cut off, or is told to stop,
-//! while jobs arrive. All candidates wait for the key to vanish; larger hosts try
-//! first, and the store decides.
+//! Load pattern: the owner crashes, hangs, loses its network or is stopped while
+//! jobs arrive. All candidates wait until the key is removed. Larger hosts try
+//! first; the store accepts the first write.
 
 use std::rc::Rc;
 use std::time::Duration;
 
 use rand::Rng;
 
-use super::follow;
+use super::host::{self, Shared};
 use super::keys::{self, OwnerRecord};
-use super::node::{self, Shared};
 use super::owner::Outcome;
+use super::watcher;
 use crate::domain::Millis;
 use crate::event::{Entry, Kind};
 use crate::port::{KeyValue, KvError, Platform, Put, Transaction};
 
-/// Length of the owner's lease in milliseconds: most of the time without an owner
-/// after a crash, and long enough for three renewals at sixty times the usual
-/// delay of the store.
+/// Length of the owner's lease in milliseconds. It makes up most of the time without
+/// an owner after a crash, and allows three renewals at sixty times the usual
+/// latency of the store.
 pub(super) const LEASE_MS: Millis = 1_500;
 
-/// Longest wait of the smallest host before it tries, in milliseconds.
+/// Delay of the smallest host before it tries, in milliseconds; larger hosts wait less.
 const RANK_WAIT_MS: f64 = 120.0;
 
-/// Random part of the wait, in milliseconds.
+/// Largest random addition to the delay, in milliseconds.
 const JITTER_MS: Millis = 40;
 
-/// One ownership.
+/// One period of ownership.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Term {
-    /// Lease that the owner's key is under.
+    /// Lease that the owner's key is attached to.
     pub lease: u64,
     /// Fencing token: the revision at which the key was created.
     pub fence: u64,
 }
 
-/// Takes part in elections until it is dropped.
+/// Takes part in elections until the host stops.
 pub(super) async fn campaign<P: Platform>(shared: &Rc<Shared<P>>) {
     let mut owner = shared.owner.subscribe();
-    let mut is_eager = false;
+    let mut skip_wait = false;
     loop {
         if *shared.stopping.borrow() {
             return;
         }
-        if !is_eager {
+        if !skip_wait {
             wait_for_vacancy(shared, &mut owner).await;
         }
-        is_eager = false;
+        skip_wait = false;
         if *shared.stopping.borrow() {
             return;
         }
@@ -57,18 +57,18 @@
                 Entry::new(Kind::OwnerElected)
                     .with("fence", term.fence)
                     .emit();
-                let outcome = node::own(shared, term).await;
+                let outcome = host::run_owner(shared, term).await;
                 Entry::new(Kind::OwnerLost)
                     .with("fence", term.fence)
                     .with_text("cause", format!("{outcome:?}"))
                     .emit();
                 shared.owner.send_replace(None);
-                is_eager = outcome == Outcome::LeaseEnded;
+                skip_wait = outcome == Outcome::LeaseEnded;
             }
-            Ok(None) => follow::pause().await,
+            Ok(None) => watcher::back_off().await,
             Err(error) => {
-                log::info!("the election failed: {error}");
-                follow::pause().await;
+                log::info!("the election attempt failed: {error}");
+                watcher::back_off().await;
             }
         }
     }
@@ -81,14 +81,14 @@
     loop {
         let is_vacant = owner.borrow_and_update().is_none() && shared.knows_owner.get();
         if is_vacant {
-            let rank = (1.0 - shared.settings.share).clamp(0.0, 1.0) * RANK_WAIT_MS;
+            let rank_wait = (1.0 - shared.settings.share).clamp(0.0, 1.0) * RANK_WAIT_MS;
             let jitter = rand::rng().random_range(0..=JITTER_MS);
             #[expect(
                 clippy::cast_possible_truncation,
                 clippy::cast_sign_loss,
                 reason = "the wait is between zero and RANK_WAIT_MS"
             )]
-            let wait = rank as Millis + jitter;
+            let wait = rank_wait as Millis + jitter;
             tokio::time::sleep(Duration::from_millis(wait)).await;
             if owner.borrow_and_update().is_none() && shared.knows_owner.get() {
                 return;
@@ -100,7 +100,7 @@
     }
 }
 
-/// Tries to create the owner's key; none if another host holds it.
+/// Tries to create the owner's key; `None` if another host holds it.
 async fn elect<P: Platform>(shared: &Shared<P>) -> Result<Option<Term>, KvError> {
     let kv = shared.platform.kv();
     let lease = kv.grant(LEASE_MS).await?;
@@ -121,35 +121,35 @@
     match kv.commit(&transaction).await {
         Ok(fence) => Ok(Some(Term { lease, fence })),
         Err(KvError::Conflict { .. } | KvError::NoLease) => {
-            abandon(kv, lease).await;
+            revoke_lease(kv, lease).await;
             Ok(None)
         }
         Err(KvError::Unanswered { cause }) => {
-            log::info!("the election was not answered: {cause}");
-            // An election that is carried out late is found by its number.
+            log::info!("no answer to the creation of the owner's key: {cause}");
+            // The store may have created the key all the same; the nonce identifies it.
             let held = kv.get(keys::OWNER).await?;
-            let mine = held.filter(|item| {
+            let own_key = held.filter(|item| {
                 serde_json::from_slice::<OwnerRecord>(&item.value)
                     .is_ok_and(|held| held.nonce == record.nonce)
             });
-            if mine.is_none() {
-                abandon(kv, lease).await;
+            if own_key.is_none() {
+                revoke_lease(kv, lease).await;
             }
-            Ok(mine.map(|item| Term {
+            Ok(own_key.map(|item| Term {
                 lease,
                 fence: item.created,
             }))
         }
         Err(error) => {
-            abandon(kv, lease).await;
+            revoke_lease(kv, lease).await;
             Err(error)
         }
     }
 }
 
-/// Ends a lease, so that nobody has to wait for it.
-pub(super) async fn abandon<K: KeyValue>(kv: &K, lease: u64) {
+/// Revokes a lease, so that its key is removed at once instead of when it expires.
+pub(super) async fn revoke_lease<K: KeyValue>(kv: &K, lease: u64) {
     if let Err(error) = kv.revoke(lease).await {
-        log::info!("lease {lease} is left to end by itself: {error}");
+        log::info!("lease {lease} could not be revoked and will expire: {error}");
     }
 }
--- a/crates/verbenahitch/src/entry/node.rs
+++ b/crates/verbenahitch/src/entry/host.rs
@@ -1,4 +1,4 @@
-//! The parts of one entry host, put together.
+//! Assembly of an entry host from its parts.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -10,68 +10,68 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 
-use super::follow::{News, Pacing, follow};
 use super::intake::{self, Intake};
 use super::keys::{self, OwnerRecord};
 use super::link::{self, Inbox};
 use super::owner::OwnerEvent;
-use super::{lead, owner};
+use super::watcher::{WatchTiming, WatchUpdate, watch_prefix};
+use super::{election, owner};
 use crate::collections::HashMap;
 use crate::dispatch::Queue;
 use crate::domain::Millis;
 use crate::event::{Entry, Kind};
 use crate::port::{Change, Directive, Item, Platform, Queues};
 
-/// How the operators' keys and the owner's key are followed. A quarter of the
-/// time in which a change has to be in force.
-const FOLLOW: Pacing = Pacing {
+/// Timing of the watches on the operators' keys and the owner's key. The wait is a
+/// quarter of the time within which a change must be in force.
+const CONTROL_WATCH: WatchTiming = WatchTiming {
     wait_ms: 1_000,
     pause_ms: 0,
 };
 
-/// Settings of an entry host, beside those of the platform.
+/// Settings of an entry host, without those of the platform.
 #[derive(Clone, Debug)]
 pub struct EntrySettings {
     /// Name of the host.
     pub name: String,
     /// Address for calls of other hosts.
     pub address: SocketAddr,
-    /// Share of a core that the host has; larger hosts own the dispatching first.
+    /// Share of a core that the host has; larger hosts are preferred as owner.
     pub share: f64,
-    /// Longest lease that workers give, in milliseconds.
+    /// Longest lease that workers accept, in milliseconds.
     pub lease_max: Millis,
 }
 
-/// What the parts of a host share.
+/// State that the parts of a host share.
 pub(super) struct Shared<P> {
     pub platform: P,
     pub settings: EntrySettings,
     pub queues: Arc<ArcSwapOption<Queues>>,
-    pub evacuated: RefCell<Vec<String>>,
+    pub evacuated_zones: RefCell<Vec<String>>,
     pub owner: watch::Sender<Option<OwnerRecord>>,
-    /// Whether the key of the owner was read since the store answered last.
+    /// Whether the last read or watch of the owner's key succeeded.
     pub knows_owner: Cell<bool>,
-    /// Whether the store has answered this host lately.
+    /// Whether the last read or watch of the operators' keys succeeded.
     pub store_up: Arc<AtomicBool>,
     pub inbox: Inbox,
     pub stopping: watch::Receiver<bool>,
 }
 
 impl<P: Platform> Shared<P> {
-    /// Whether the store has answered this host lately.
+    /// Whether the last read or watch of the operators' keys succeeded.
     pub fn is_store_up(&self) -> bool {
         self.store_up.load(Ordering::Relaxed)
     }
 
-    /// Queues in force, and the zones that get nothing.
+    /// Queues in force, and the evacuated zones.
     pub fn declared(&self) -> (Vec<Queue>, Vec<String>) {
         let queues = self.queues.load_full();
         let routes = queues.iter().flat_map(|queues| &queues.routes);
         let queues = routes.map(|route| route.queue.clone()).collect();
-        (queues, self.evacuated.borrow().clone())
+        (queues, self.evacuated_zones.borrow().clone())
     }
 
-    fn hear_store(&self, is_up: bool, cause: Option<String>) {
+    fn set_store_up(&self, is_up: bool, cause: Option<String>) {
         if self.store_up.swap(is_up, Ordering::Relaxed) == is_up {
             return;
         }
@@ -85,14 +85,14 @@
 }
 
 /// One entry host.
-pub struct Node<P> {
+pub struct EntryHost<P> {
     shared: Rc<Shared<P>>,
     intake: Intake,
     calls: mpsc::UnboundedReceiver<intake::Call>,
 }
 
-impl<P: Platform> Node<P> {
-    /// Creates the host without starting anything.
+impl<P: Platform> EntryHost<P> {
+    /// Creates a host; [`EntryHost::run`] starts it.
     pub fn new(platform: P, settings: EntrySettings, stopping: watch::Receiver<bool>) -> Self {
         let (sender, calls) = mpsc::unbounded_channel();
         let queues = Arc::new(ArcSwapOption::empty());
@@ -101,7 +101,7 @@
             platform,
             settings,
             queues: Arc::clone(&queues),
-            evacuated: RefCell::new(Vec::new()),
+            evacuated_zones: RefCell::new(Vec::new()),
             owner: watch::channel(None).0,
             knows_owner: Cell::new(false),
             store_up: Arc::clone(&store_up),
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Handle for callers' calls.
+    /// Handle for serving callers.
     pub fn intake(&self) -> Intake {
         self.intake.clone()
     }
@@ -128,7 +128,7 @@
     ///
     /// # Errors
     ///
-    /// When the address for other hosts cannot be listened on.
+    /// When the address for calls of other hosts cannot be bound.
     pub async fn run(self) -> std::io::Result<()> {
         let Self {
             shared,
@@ -140,57 +140,63 @@
         tokio::join!(
             link::serve(listener, shared.inbox.clone()),
             intake::serve(Rc::clone(&shared), calls),
-            follow_operators(&shared),
-            follow_owner(&shared),
-            lead::campaign(&shared),
+            watch_operators(&shared),
+            watch_owner(&shared),
+            election::campaign(&shared),
         );
         Ok(())
     }
 }
 
-async fn follow_operators<P: Platform>(shared: &Shared<P>) {
+async fn watch_operators<P: Platform>(shared: &Shared<P>) {
     let mut zones: HashMap<String, String> = HashMap::default();
     let kv = shared.platform.kv();
     let prefix = shared.platform.operator_prefix();
-    follow(kv, prefix, FOLLOW, |news| {
-        shared.hear_store(
-            !matches!(news, News::Silence(_)),
-            match &news {
-                News::Silence(error) => Some(error.to_string()),
+    watch_prefix(kv, prefix, CONTROL_WATCH, |update| {
+        shared.set_store_up(
+            !matches!(update, WatchUpdate::Unavailable(_)),
+            match &update {
+                WatchUpdate::Unavailable(error) => Some(error.to_string()),
                 _ => None,
             },
         );
-        match news {
-            News::All(items) => {
+        match update {
+            WatchUpdate::Listed(items) => {
                 zones.clear();
                 for item in &items {
-                    apply(shared, &mut zones, item);
+                    apply_directive(shared, &mut zones, item);
                 }
             }
-            News::Changes(changes) => {
+            WatchUpdate::Changes(changes) => {
                 for change in changes {
                     match change {
-                        Change::Put(item) => apply(shared, &mut zones, &item),
+                        Change::Put(item) => apply_directive(shared, &mut zones, &item),
                         Change::Removed(key) => {
                             zones.remove(&key);
                         }
                     }
                 }
             }
-            News::Nothing | News::Silence(_) => return,
+            WatchUpdate::Unchanged | WatchUpdate::Unavailable(_) => return,
         }
-        let mut out: Vec<String> = zones.values().cloned().collect();
-        out.sort_unstable();
-        if *shared.evacuated.borrow() != out {
-            Entry::new(Kind::Declared).with("zones-out", &out).emit();
-            shared.evacuated.replace(out);
+        let mut evacuated: Vec<String> = zones.values().cloned().collect();
+        evacuated.sort_unstable();
+        if *shared.evacuated_zones.borrow() != evacuated {
+            Entry::new(Kind::Declared)
+                .with("zones-out", &evacuated)
+                .emit();
+            shared.evacuated_zones.replace(evacuated);
         }
-        shared.inbox.tell(OwnerEvent::Declared);
+        shared.inbox.send(OwnerEvent::Declared);
     })
     .await;
 }
 
-fn apply<P: Platform>(shared: &Shared<P>, zones: &mut HashMap<String, String>, item: &Item) {
+fn apply_directive<P: Platform>(
+    shared: &Shared<P>,
+    zones: &mut HashMap<String, String>,
+    item: &Item,
+) {
     match shared.platform.directive(item) {
         Ok(Directive::Queues(queues)) => {
             let held = shared.queues.load_full();
@@ -215,7 +221,7 @@
     }
 }
 
-async fn follow_owner<P: Platform>(shared: &Shared<P>) {
+async fn watch_owner<P: Platform>(shared: &Shared<P>) {
     let set = |record: Option<OwnerRecord>| {
         if *shared.owner.borrow() != record {
             Entry::new(Kind::OwnerChanged)
@@ -226,37 +232,46 @@
     };
     let read = |item: &Item| match serde_json::from_slice(&item.value) {
         Ok(record) => set(Some(record)),
-        Err(error) => log::error!("the record of the owner cannot be read: {error}"),
+        Err(error) => log::error!("the owner's record cannot be parsed: {error}"),
     };
     let kv = shared.platform.kv();
-    follow(kv, keys::LEAD, FOLLOW, |news| match news {
-        News::All(items) => {
-            shared.knows_owner.set(true);
-            match items.iter().find(|item| item.key == keys::OWNER) {
-                Some(item) => read(item),
-                None => set(None),
+    watch_prefix(
+        kv,
+        keys::OWNER_PREFIX,
+        CONTROL_WATCH,
+        |update| match update {
+            WatchUpdate::Listed(items) => {
+                shared.knows_owner.set(true);
+                match items.iter().find(|item| item.key == keys::OWNER) {
+                    Some(item) => read(item),
+                    None => set(None),
+                }
+                // Wakes waiting candidates even when nothing has changed, since they check
+                // `knows_owner` too.
+                shared.owner.send_modify(|_| {});
             }
-            // Waiting candidates look again even when nothing has changed.
-            shared.owner.send_modify(|_| {});
-        }
-        News::Changes(changes) => {
-            shared.knows_owner.set(true);
-            for change in changes {
-                match change {
-                    Change::Put(item) if item.key == keys::OWNER => read(&item),
-                    Change::Removed(key) if key == keys::OWNER => set(None),
-                    Change::Put(_) | Change::Removed(_) => {}
+            WatchUpdate::Changes(changes) => {
+                shared.knows_owner.set(true);
+                for change in changes {
+                    match change {
+                        Change::Put(item) if item.key == keys::OWNER => read(&item),
+                        Change::Removed(key) if key == keys::OWNER => set(None),
+                        Change::Put(_) | Change::Removed(_) => {}
+                    }
                 }
             }
-        }
-        News::Nothing => shared.knows_owner.set(true),
-        News::Silence(_) => shared.knows_owner.set(false),
-    })
+            WatchUpdate::Unchanged => shared.knows_owner.set(true),
+            WatchUpdate::Unavailable(_) => shared.knows_owner.set(false),
+        },
+    )
     .await;
 }
 
-/// Runs the owner's part while this process holds `term`.
-pub(super) async fn own<P: Platform>(shared: &Rc<Shared<P>>, term: lead::Term) -> owner::Outcome {
+/// Runs the owner's loop for the length of `term`.
+pub(super) async fn run_owner<P: Platform>(
+    shared: &Rc<Shared<P>>,
+    term: election::Term,
+) -> owner::Outcome {
     let (sender, events) = mpsc::unbounded_channel();
     shared.inbox.set(Some(sender.clone()));
     let outcome = owner::run(shared, term, sender, events).await;
--- a/crates/verbenahitch/src/entry/intake.rs
+++ b/crates/verbenahitch/src/entry/intake.rs
@@ -1,9 +1,9 @@
-//! Callers' calls, at whichever host they arrive.
+//! Calls from callers, served by any entry host.
 //!
-//! Load pattern: bursts, retries of callers whose answer was lost, and outages of
-//! the store. A job is accepted by one write that only succeeds once for its
-//! identifier. What cannot be stored is refused at once; what may have been
-//! stored is never called refused.
+//! Load pattern: bursts, retries of callers that lost an answer, and outages of
+//! the store. A job is accepted by one conditional write, which succeeds once per
+//! identifier. A job that cannot be stored is refused at once. When a write may
+//! have been applied, the outcome is unknown, never refused.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,45 +13,45 @@
 use arc_swap::ArcSwapOption;
 use tokio::sync::{mpsc, oneshot};
 
+use super::host::Shared;
 use super::keys::{self, JobEntry};
 use super::link::Link;
-use super::node::Shared;
 use super::owner::OwnerEvent;
 use crate::dispatch::{JobId, JobRecord, JobState, ProgressRecord};
 use crate::domain::Millis;
 use crate::event::{Entry, Kind};
 use crate::port::{KeyValue, KvError, Platform, Put, Queues, Transaction};
 
-/// When a caller that was turned away for the store's sake should come back, in
-/// milliseconds: the store answers again within seconds, and callers that return
-/// together would be turned away together.
+/// `Retry-After` of callers that are refused because the store is unavailable, in
+/// milliseconds. The store recovers within seconds, and callers that return all at
+/// once would be refused again.
 pub const STORE_RETRY_MS: Millis = 1_000;
 
 /// Outcome of a submission or a cancel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Accepted {
-    /// The store holds it.
+    /// Stored.
     Stored,
-    /// Nothing was stored or ever will be.
+    /// Not stored, and it will not be stored later.
     Refused,
-    /// It may have been stored.
+    /// Possibly stored.
     Unknown,
     /// There is no such job.
     Missing,
 }
 
-/// Outcome of a question for a state.
+/// Outcome of a state query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// How the job stands.
+    /// State of the job.
     Known(JobState),
     /// There is no such job.
     Missing,
-    /// Neither owner nor store can be asked.
+    /// Neither the owner nor the store answers.
     Unavailable,
 }
 
-/// One call, with the sender of its answer.
+/// One call, with the channel for its answer.
 #[derive(Debug)]
 pub(super) enum Call {
     Submit(JobId, Box<JobRecord>, oneshot::Sender<Accepted>),
@@ -60,7 +60,7 @@
     Waiting(String, oneshot::Sender<Option<usize>>),
 }
 
-/// Handle for callers' calls; clones serve the same host.
+/// Handle for serving callers; clones belong to the same host.
 #[derive(Clone, Debug)]
 pub struct Intake {
     pub(super) calls: mpsc::UnboundedSender<Call>,
@@ -69,42 +69,43 @@
 }
 
 impl Intake {
-    /// Queues in force, none before the first are known.
+    /// Queues in force; `None` until they have been read once.
     pub fn queues(&self) -> Option<Arc<Queues>> {
         self.queues.load_full()
     }
 
-    /// Whether jobs can be accepted, as far as this host knows: callers that come
-    /// while the store turns it away alone are better off at another host.
+    /// Whether this host can accept jobs. While the store refuses only this host,
+    /// callers should use another one.
     pub fn is_ready(&self) -> bool {
         self.queues.load().is_some() && self.store_up.load(Ordering::Relaxed)
     }
 
     /// Accepts a job.
     pub async fn submit(&self, id: JobId, record: JobRecord) -> Accepted {
-        let answer = self.ask(|sender| Call::Submit(id, Box::new(record), sender));
+        let answer = self.call(|sender| Call::Submit(id, Box::new(record), sender));
         answer.await.unwrap_or(Accepted::Unknown)
     }
 
     /// Cancels a job.
     pub async fn cancel(&self, id: JobId) -> Accepted {
-        let answer = self.ask(|sender| Call::Cancel(id, sender));
+        let answer = self.call(|sender| Call::Cancel(id, sender));
         answer.await.unwrap_or(Accepted::Unknown)
     }
 
     /// State of a job.
     pub async fn state(&self, id: JobId) -> Status {
-        let answer = self.ask(|sender| Call::State(id, sender));
+        let answer = self.call(|sender| Call::State(id, sender));
         answer.await.unwrap_or(Status::Unavailable)
     }
 
-    /// Jobs of a queue of which no task has started, none if nobody can tell.
+    /// Number of jobs in a queue of which no task has started; `None` if the owner does
+    /// not answer.
     pub async fn waiting(&self, queue: &str) -> Option<usize> {
-        let answer = self.ask(|sender| Call::Waiting(queue.to_owned(), sender));
+        let answer = self.call(|sender| Call::Waiting(queue.to_owned(), sender));
         answer.await.flatten()
     }
 
-    async fn ask<T>(&self, call: impl FnOnce(oneshot::Sender<T>) -> Call) -> Option<T> {
+    async fn call<T>(&self, call: impl FnOnce(oneshot::Sender<T>) -> Call) -> Option<T> {
         let (sender, answer) = oneshot::channel();
         if self.calls.send(call(sender)).is_err() {
             return None;
@@ -113,29 +114,29 @@
     }
 }
 
-/// Serves calls until all handles are gone.
+/// Serves calls until all handles are dropped.
 pub(super) async fn serve<P: Platform>(
     shared: Rc<Shared<P>>,
     mut calls: mpsc::UnboundedReceiver<Call>,
 ) {
     let link = Rc::new(Link::default());
     while let Some(call) = calls.recv().await {
-        let desk = Desk {
+        let handler = Handler {
             shared: Rc::clone(&shared),
             link: Rc::clone(&link),
         };
-        tokio::task::spawn_local(async move { desk.serve(call).await });
+        tokio::task::spawn_local(async move { handler.serve(call).await });
     }
 }
 
-struct Desk<P> {
+struct Handler<P> {
     shared: Rc<Shared<P>>,
     link: Rc<Link>,
 }
 
-impl<P: Platform> Desk<P> {
+impl<P: Platform> Handler<P> {
     async fn serve(&self, call: Call) {
-        // A caller that has gone away needs no answer.
+        // The caller may have dropped the receiver.
         match call {
             Call::Submit(id, record, answer) => {
                 let _ = answer.send(self.submit(id, *record).await);
@@ -162,7 +163,7 @@
         outcome
     }
 
-    /// Creates a key; a key that exists already counts as stored.
+    /// Creates a key. An existing key counts as stored: it is from an earlier attempt.
     async fn store(&self, key: String, value: Vec<u8>) -> Accepted {
         if !self.shared.is_store_up() {
             return Accepted::Refused;
@@ -176,38 +177,38 @@
         match kv.commit(&transaction).await {
             Ok(_) | Err(KvError::Conflict { .. }) => return Accepted::Stored,
             Err(KvError::Unanswered { cause }) => {
-                log::info!("a write was not answered and is repeated: {cause}");
+                log::info!("no answer to a write, which is sent again: {cause}");
             }
             Err(error) => {
-                log::info!("a write was refused: {error}");
+                log::info!("the store refused a write: {error}");
                 return Accepted::Refused;
             }
         }
         match kv.commit(&transaction).await {
             Ok(_) | Err(KvError::Conflict { .. }) => Accepted::Stored,
             Err(error) => {
-                log::warn!("nobody knows whether a write was done: {error}");
+                log::warn!("a write may or may not have been applied: {error}");
                 Accepted::Unknown
             }
         }
     }
 
-    /// Tells the owner of a job, which otherwise finds it by its watch.
+    /// Notifies the owner of a job. If this fails, the owner finds the job by its watch.
     fn announce(&self, id: JobId, entry: JobEntry, bytes: Vec<u8>) {
         if let JobEntry::Open(record) = entry
             && self
                 .shared
                 .inbox
-                .tell(OwnerEvent::Submitted(id, Box::new(record)))
+                .send(OwnerEvent::Submitted(id, Box::new(record)))
         {
             return;
         }
-        let Some(address) = self.owner() else {
+        let Some(address) = self.owner_address() else {
             return;
         };
         let link = Rc::clone(&self.link);
         tokio::task::spawn_local(async move {
-            if let Err(error) = link.submitted(address, id, &bytes).await {
+            if let Err(error) = link.notify_submitted(address, id, &bytes).await {
                 log::info!("job {id} was not announced: {error}");
             }
         });
@@ -221,16 +222,16 @@
             Ok(Some(_)) => {}
             Ok(None) => return Accepted::Missing,
             Err(error) => {
-                log::info!("cancel of {id} refused: {error}");
+                log::info!("cancel of {id} was refused: {error}");
                 return Accepted::Refused;
             }
         }
         let outcome = self.store(keys::cancel(id), b"{}".to_vec()).await;
-        if outcome == Accepted::Stored && !self.shared.inbox.tell(OwnerEvent::Cancelled(id)) {
-            let Some(address) = self.owner() else {
+        if outcome == Accepted::Stored && !self.shared.inbox.send(OwnerEvent::Cancelled(id)) {
+            let Some(address) = self.owner_address() else {
                 return outcome;
             };
-            if let Err(error) = self.link.cancelled(address, id).await {
+            if let Err(error) = self.link.notify_cancelled(address, id).await {
                 log::info!("cancel of {id} was not announced: {error}");
             }
         }
@@ -238,22 +239,24 @@
     }
 
     async fn state(&self, id: JobId) -> Status {
-        let asked = match self
+        let result = match self
             .shared
             .inbox
-            .ask(|answer| OwnerEvent::State(id, answer))
+            .query(|answer| OwnerEvent::State(id, answer))
             .await
         {
             Some(state) => Ok(state),
-            None => match self.owner() {
+            None => match self.owner_address() {
                 Some(address) => self.link.state(address, id).await,
                 None => Ok(None),
             },
         };
-        match asked {
+        match result {
             Ok(Some(state)) => return Status::Known(state),
             Ok(None) => {}
-            Err(error) => log::info!("state of {id} is read from the store: {error}"),
+            Err(error) => log::info!(
+                "no answer from the owner, reading the state of {id} from the store: {error}"
+            ),
         }
         match self.stored_state(id).await {
             Ok(Some(state)) => Status::Known(state),
@@ -293,21 +296,21 @@
         if let Some(count) = self
             .shared
             .inbox
-            .ask(|answer| OwnerEvent::Waiting(name, answer))
+            .query(|answer| OwnerEvent::Waiting(name, answer))
             .await
         {
             return Some(count);
         }
-        match self.link.waiting(self.owner()?, queue).await {
+        match self.link.waiting(self.owner_address()?, queue).await {
             Ok(count) => Some(count),
             Err(error) => {
-                log::info!("jobs waiting in {queue} are not known: {error}");
+                log::info!("the number of jobs waiting in {queue} is unknown: {error}");
                 None
             }
         }
     }
 
-    fn owner(&self) -> Option<SocketAddr> {
+    fn owner_address(&self) -> Option<SocketAddr> {
         let owner = self.shared.owner.borrow();
         owner.as_ref().and_then(|owner| owner.address.parse().ok())
     }
--- a/crates/verbenahitch/src/entry/keys.rs
+++ b/crates/verbenahitch/src/entry/keys.rs
@@ -1,74 +1,74 @@
-//! Keys and records of the dispatching in the store.
+//! Keys and records that entry hosts keep in the store.
 
 use serde::{Deserialize, Serialize};
 
 use crate::dispatch::{JobId, JobRecord, JobState};
 
-/// Beginning of what callers' hosts write.
-pub(super) const INTAKE: &str = "intake/";
+/// Prefix of the keys that hosts write for callers.
+pub(super) const INTAKE_PREFIX: &str = "intake/";
 
-/// Beginning of accepted jobs.
-const JOBS: &str = "intake/job/";
+/// Prefix of accepted jobs.
+const JOB_PREFIX: &str = "intake/job/";
 
-/// Beginning of accepted cancels.
-const CANCELS: &str = "intake/cancel/";
+/// Prefix of accepted cancels.
+const CANCEL_PREFIX: &str = "intake/cancel/";
 
-/// Beginning of what the owner writes of jobs.
-pub(super) const PROGRESS: &str = "progress/";
+/// Prefix of the owner's progress records.
+pub(super) const PROGRESS_PREFIX: &str = "progress/";
 
-/// Beginning of the key of the owner.
-pub(super) const LEAD: &str = "lead/";
+/// Prefix of the owner's key.
+pub(super) const OWNER_PREFIX: &str = "lead/";
 
-/// Key of the owner; its creation is the fencing token.
+/// Key of the owner; the revision of its creation is the fencing token.
 pub(super) const OWNER: &str = "lead/owner";
 
-/// Key that every commit of an owner changes, so that a commit which is carried
-/// out late finds another revision than it expects.
+/// Key that every commit of an owner changes, so that a delayed commit conflicts
+/// with the ones made after it was sent.
 pub(super) const COMMIT: &str = "commit/last";
 
-/// Key of what was learned of images.
-pub(super) const LEARNED: &str = "learned/pressures";
+/// Key of the learned pressures between images.
+pub(super) const PRESSURES: &str = "learned/pressures";
 
 /// An accepted job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(super) enum JobEntry {
-    /// It has not ended.
+    /// The job has not ended.
     Open(JobRecord),
-    /// All that is left of it.
+    /// Final state; the rest of the record is dropped.
     Ended(JobState),
 }
 
-/// The owner as the others find it.
+/// Value of the owner's key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(super) struct OwnerRecord {
     /// Name of the host.
     pub name: String,
-    /// Address that it takes calls on.
+    /// Address for calls of other hosts.
     pub address: String,
-    /// Tells one campaign from another of the same host.
+    /// Random number that identifies one election attempt of a host.
     pub nonce: u64,
 }
 
-/// Value of a key.
+/// Encodes the value of a key.
 pub(super) fn encode<T: Serialize>(record: &T) -> Vec<u8> {
     serde_json::to_vec(record).expect("records have only string keys")
 }
 
 pub(super) fn job(id: JobId) -> String {
-    format!("{JOBS}{id}")
+    format!("{JOB_PREFIX}{id}")
 }
 
 pub(super) fn cancel(id: JobId) -> String {
-    format!("{CANCELS}{id}")
+    format!("{CANCEL_PREFIX}{id}")
 }
 
 pub(super) fn progress(id: JobId) -> String {
-    format!("{PROGRESS}{id}")
+    format!("{PROGRESS_PREFIX}{id}")
 }
 
-/// What a key of the intake is about.
+/// A parsed key below [`INTAKE_PREFIX`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum IntakeKey {
     Job(JobId),
@@ -76,13 +76,13 @@
 }
 
 pub(super) fn parse_intake(key: &str) -> Option<IntakeKey> {
-    if let Some(id) = key.strip_prefix(JOBS) {
+    if let Some(id) = key.strip_prefix(JOB_PREFIX) {
         return id.parse().ok().map(IntakeKey::Job);
     }
-    let id = key.strip_prefix(CANCELS)?;
+    let id = key.strip_prefix(CANCEL_PREFIX)?;
     id.parse().ok().map(IntakeKey::Cancel)
 }
 
 pub(super) fn parse_progress(key: &str) -> Option<JobId> {
-    key.strip_prefix(PROGRESS)?.parse().ok()
+    key.strip_prefix(PROGRESS_PREFIX)?.parse().ok()
 }
--- a/crates/verbenahitch/src/entry/link.rs
+++ b/crates/verbenahitch/src/entry/link.rs
@@ -1,4 +1,4 @@
-//! Calls of an entry host to the owner, over Cap'n Proto.
+//! Cap'n Proto calls between entry hosts and the owner.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -19,52 +19,56 @@
 use crate::owner_capnp::{State, owner};
 use crate::peer::network;
 
-/// Longest time that a call may take, connecting included, in milliseconds.
-/// A busy owner's answer takes tens of them.
-const CALL_LIMIT_MS: Millis = 350;
+/// Timeout of a call, including the connection setup, in milliseconds. A busy owner
+/// answers within tens of milliseconds.
+const CALL_TIMEOUT_MS: Millis = 350;
 
-/// Way to the owner's loop of this process, while there is one; clones share it.
+/// Channel to the owner's loop in this process, if this host is the owner; clones share
+/// it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Inbox(Rc<RefCell<Option<mpsc::UnboundedSender<OwnerEvent>>>>);
 
 impl Inbox {
-    /// Opens the way to a loop, or closes it.
+    /// Connects the inbox to a loop, or disconnects it.
     pub fn set(&self, sender: Option<mpsc::UnboundedSender<OwnerEvent>>) {
         self.0.replace(sender);
     }
 
-    /// Tells the loop; false if there is none.
-    pub fn tell(&self, event: OwnerEvent) -> bool {
+    /// Sends an event to the loop; false if there is none.
+    pub fn send(&self, event: OwnerEvent) -> bool {
         let sender = self.0.borrow();
         sender
             .as_ref()
             .is_some_and(|sender| sender.send(event).is_ok())
     }
 
-    /// Asks the loop; none if there is none, or it ends meanwhile.
-    pub async fn ask<T>(&self, event: impl FnOnce(oneshot::Sender<T>) -> OwnerEvent) -> Option<T> {
+    /// Sends a query to the loop; `None` if there is no loop or it ends before it answers.
+    pub async fn query<T>(
+        &self,
+        event: impl FnOnce(oneshot::Sender<T>) -> OwnerEvent,
+    ) -> Option<T> {
         let (sender, answer) = oneshot::channel();
-        if !self.tell(event(sender)) {
+        if !self.send(event(sender)) {
             return None;
         }
         answer.await.ok()
     }
 }
 
-/// The owner cannot be asked.
+/// A call to the owner failed.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("the owner cannot be asked: {cause}"))]
 pub(super) struct LinkError {
     cause: String,
 }
 
-fn failed(cause: impl ToString) -> LinkError {
+fn link_error(cause: impl ToString) -> LinkError {
     LinkError {
         cause: cause.to_string(),
     }
 }
 
-/// One established connection; dropping it closes it.
+/// An established connection; closed on drop.
 struct Session {
     address: SocketAddr,
     client: owner::Client,
@@ -77,15 +81,15 @@
     }
 }
 
-/// Connection to whichever process owns the dispatching.
+/// Connection to the current owner.
 #[derive(Default)]
 pub(super) struct Link {
     session: RefCell<Option<Rc<Session>>>,
 }
 
 impl Link {
-    /// Tells of a job, by the entry that the store holds.
-    pub async fn submitted(
+    /// Notifies the owner of a job, with the entry that the store holds.
+    pub async fn notify_submitted(
         &self,
         address: SocketAddr,
         id: JobId,
@@ -100,8 +104,8 @@
         .await
     }
 
-    /// Tells of a cancel.
-    pub async fn cancelled(&self, address: SocketAddr, id: JobId) -> Result<(), LinkError> {
+    /// Notifies the owner of a cancel.
+    pub async fn notify_cancelled(&self, address: SocketAddr, id: JobId) -> Result<(), LinkError> {
         self.call(address, async |client: owner::Client| {
             let mut request = client.cancelled_request();
             request.get().set_job(id.to_string());
@@ -110,7 +114,7 @@
         .await
     }
 
-    /// State of a job, none if the owner does not know it.
+    /// State of a job; `None` if the owner does not know it.
     pub async fn state(
         &self,
         address: SocketAddr,
@@ -125,7 +129,7 @@
         .await
     }
 
-    /// Jobs of a queue of which no task has started.
+    /// Number of jobs in a queue of which no task has started.
     pub async fn waiting(&self, address: SocketAddr, queue: &str) -> Result<usize, LinkError> {
         self.call(address, async |client: owner::Client| {
             let mut request = client.waiting_request();
@@ -136,20 +140,20 @@
         .await
     }
 
-    /// Calls the owner; a connection that fails or stays silent is given up.
+    /// Calls the owner; closes the connection after an error or timeout.
     async fn call<T>(
         &self,
         address: SocketAddr,
         call: impl AsyncFn(owner::Client) -> capnp::Result<T>,
     ) -> Result<T, LinkError> {
-        let limit = Duration::from_millis(CALL_LIMIT_MS);
+        let timeout = Duration::from_millis(CALL_TIMEOUT_MS);
         let attempt = async {
             let session = self.open(address).await?;
-            call(session.client.clone()).await.map_err(failed)
+            call(session.client.clone()).await.map_err(link_error)
         };
-        let result = match tokio::time::timeout(limit, attempt).await {
+        let result = match tokio::time::timeout(timeout, attempt).await {
             Ok(result) => result,
-            Err(_) => Err(failed("no answer in time")),
+            Err(_) => Err(link_error("the call timed out")),
         };
         if result.is_err() {
             self.session.replace(None);
@@ -162,8 +166,8 @@
         if let Some(session) = held.filter(|session| session.address == address) {
             return Ok(session);
         }
-        let stream = TcpStream::connect(address).await.map_err(failed)?;
-        stream.set_nodelay(true).map_err(failed)?;
+        let stream = TcpStream::connect(address).await.map_err(link_error)?;
+        stream.set_nodelay(true).map_err(link_error)?;
         let mut rpc = RpcSystem::new(Box::new(network(stream, Side::Client)), None);
         let client: owner::Client = rpc.bootstrap(Side::Server);
         let transport = tokio::task::spawn_local(async move {
@@ -181,19 +185,19 @@
     }
 }
 
-/// Serves the calls of other hosts until it is dropped.
+/// Serves calls of other hosts until it is dropped.
 pub(super) async fn serve(listener: TcpListener, inbox: Inbox) {
     loop {
-        let (stream, from) = match listener.accept().await {
+        let (stream, peer) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
-                log::warn!("a connection of another host cannot be accepted: {error}");
-                super::follow::pause().await;
+                log::warn!("a connection from another host could not be accepted: {error}");
+                super::watcher::back_off().await;
                 continue;
             }
         };
         if let Err(error) = stream.set_nodelay(true) {
-            log::debug!("connection from {from}: {error}");
+            log::debug!("connection from {peer} closed, TCP_NODELAY could not be set: {error}");
             continue;
         }
         let client: owner::Client = capnp_rpc::new_client(OwnerServer {
@@ -202,7 +206,7 @@
         let rpc = RpcSystem::new(Box::new(network(stream, Side::Server)), Some(client.client));
         tokio::task::spawn_local(async move {
             if let Err(error) = rpc.await {
-                log::debug!("connection from {from} ended: {error}");
+                log::debug!("connection from {peer} ended: {error}");
             }
         });
     }
@@ -212,14 +216,14 @@
     inbox: Inbox,
 }
 
-/// Refusal of a call that only the owner can serve.
+/// Error for a call that only the owner can serve.
 fn not_owner() -> capnp::Error {
-    capnp::Error::disconnected("this process does not own the dispatching".to_owned())
+    capnp::Error::disconnected("this process is not the owner".to_owned())
 }
 
 impl OwnerServer {
-    fn tell(&self, event: OwnerEvent) -> capnp::Result<()> {
-        if self.inbox.tell(event) {
+    fn send(&self, event: OwnerEvent) -> capnp::Result<()> {
+        if self.inbox.send(event) {
             Ok(())
         } else {
             Err(not_owner())
@@ -244,7 +248,7 @@
         let entry: JobEntry = serde_json::from_slice(params.get_record()?)
             .map_err(|error| capnp::Error::failed(error.to_string()))?;
         match entry {
-            JobEntry::Open(record) => self.tell(OwnerEvent::Submitted(id, Box::new(record))),
+            JobEntry::Open(record) => self.send(OwnerEvent::Submitted(id, Box::new(record))),
             JobEntry::Ended(_) => Err(capnp::Error::failed("the job has ended".to_owned())),
         }
     }
@@ -255,7 +259,7 @@
         _: owner::CancelledResults,
     ) -> capnp::Result<()> {
         let id = parse(params.get()?.get_job()?)?;
-        self.tell(OwnerEvent::Cancelled(id))
+        self.send(OwnerEvent::Cancelled(id))
     }
 
     async fn state(
@@ -264,7 +268,10 @@
         mut results: owner::StateResults,
     ) -> capnp::Result<()> {
         let id = parse(params.get()?.get_job()?)?;
-        let state = self.inbox.ask(|answer| OwnerEvent::State(id, answer)).await;
+        let state = self
+            .inbox
+            .query(|answer| OwnerEvent::State(id, answer))
+            .await;
         results
             .get()
             .set_state(encode(state.ok_or_else(not_owner)?));
@@ -279,7 +286,7 @@
         let queue = params.get()?.get_queue()?.to_string()?;
         let count = self
             .inbox
-            .ask(|answer| OwnerEvent::Waiting(queue, answer))
+            .query(|answer| OwnerEvent::Waiting(queue, answer))
             .await
             .ok_or_else(not_owner)?;
         results
--- a/crates/verbenahitch/src/entry/mod.rs
+++ b/crates/verbenahitch/src/entry/mod.rs
@@ -1,23 +1,23 @@
-//! One entry host: it accepts callers' jobs, and one of all entry hosts owns the
-//! dispatching at a time.
+//! An entry host: accepts jobs from callers and takes part in electing the owner,
+//! the one entry host that runs the dispatcher.
 //!
-//! Every host follows the operators' keys and who the owner is. A job is
-//! accepted by whichever host it reaches, with one write to the store; the owner
-//! is told at once and finds it by its own watch otherwise. Nothing else about a
-//! job needs the owner: when it is away, states are read from the store.
+//! Every host watches the operators' keys and the owner's key. Any host can accept
+//! a job with one write to the store. It then notifies the owner, which would
+//! otherwise find the job through its own watch. Accepting, cancelling and reading
+//! the state of a job need only the store when the owner does not answer.
 //!
-//! [`intake`] serves callers' calls, `lead` elects the owner, `owner` drives the
+//! [`intake`] serves callers, `election` elects the owner, `owner` runs the
 //! [`Dispatcher`](crate::dispatch::Dispatcher), `link` carries calls to the owner.
 
-mod follow;
+mod election;
+mod host;
 pub mod intake;
 mod keys;
-mod lead;
 mod link;
-mod node;
 pub mod observe;
 mod owner;
 mod pause;
+mod watcher;
 
+pub use host::{EntryHost, EntrySettings};
 pub use intake::{Accepted, Intake, Status};
-pub use node::{EntrySettings, Node};
--- a/crates/verbenahitch/src/entry/observe.rs
+++ b/crates/verbenahitch/src/entry/observe.rs
@@ -4,8 +4,8 @@
 
 use metrics::{counter, gauge, histogram};
 
-/// Notes the final answer to a caller.
-pub fn answered(method: &str, status: u16, took: Duration) {
+/// Counts the final answer to a caller.
+pub fn record_answer(method: &str, status: u16, took: Duration) {
     let labels = [
         ("method", method.to_owned()),
         ("status", status.to_string()),
@@ -15,22 +15,22 @@
         .record(took.as_secs_f64());
 }
 
-/// Notes a call to a worker.
-pub(super) fn ordered(kind: &'static str, is_ok: bool, took: Duration) {
+/// Counts an order sent to a worker.
+pub(super) fn record_order(kind: &'static str, is_ok: bool, took: Duration) {
     let outcome = if is_ok { "done" } else { "failed" };
     counter!("verbenahitch_orders_total", "kind" => kind, "outcome" => outcome).increment(1);
     histogram!("verbenahitch_order_seconds", "kind" => kind).record(took.as_secs_f64());
 }
 
-/// Notes a commit of the owner.
-pub(super) fn committed(is_ok: bool, took: Duration) {
+/// Counts a commit of the owner.
+pub(super) fn record_commit(is_ok: bool, took: Duration) {
     let outcome = if is_ok { "stored" } else { "failed" };
     counter!("verbenahitch_owner_commits_total", "outcome" => outcome).increment(1);
     histogram!("verbenahitch_owner_commit_seconds").record(took.as_secs_f64());
 }
 
-/// Sets what the owner has in hand.
-pub(super) fn owned(workers: usize, runs: usize) {
+/// Sets the gauges of the owner: usable workers and active runs.
+pub(super) fn set_owner_gauges(workers: usize, runs: usize) {
     #[expect(clippy::cast_precision_loss, reason = "counts are far below 2^52")]
     let set = |gauge: metrics::Gauge, count: usize| gauge.set(count as f64);
     set(gauge!("verbenahitch_workers_usable"), workers);
--- a/crates/verbenahitch/src/entry/owner/commit.rs
+++ b/crates/verbenahitch/src/entry/owner/commit.rs
@@ -1,5 +1,5 @@
-//! Commits of the owner: one under way at a time, each on the condition that this
-//! process still owns the dispatching and that the commit before it was the last.
+//! Commits of the owner. At most one is in flight. Each is conditional on this
+//! process still being the owner and on no other commit since its previous one.
 
 use std::time::Duration;
 
@@ -8,15 +8,15 @@
 use crate::dispatch::{JobState, Write};
 use crate::domain::Millis;
 use crate::entry::keys::{self, JobEntry};
-use crate::entry::{follow, observe};
+use crate::entry::{observe, watcher};
 use crate::port::{Clock, KeyValue, KvError, Platform, Put, Transaction};
 
-/// Time between two records of what was learned, in milliseconds. Few enough not to
-/// show among the commits.
-const LEARNED_MS: Millis = 3_000;
+/// Least time between two writes of the learned pressures, in milliseconds. Long
+/// enough to add no noticeable load to the commits.
+const PRESSURES_INTERVAL_MS: Millis = 3_000;
 
 impl<P: Platform> Driver<P> {
-    pub(super) fn transaction(&self, writes: &[Write]) -> Transaction {
+    pub(super) fn build_transaction(&self, writes: &[Write]) -> Transaction {
         let mark = format!("{:016x}", rand::random::<u64>());
         let mut transaction = Transaction {
             expected: vec![
@@ -28,9 +28,9 @@
         };
         for write in writes {
             let record = &write.record;
-            let is_over =
+            let has_ended =
                 record.state.is_final() && record.tasks.iter().all(|task| task.runs.is_empty());
-            if is_over {
+            if has_ended {
                 let entry = JobEntry::Ended(record.state);
                 let put = Put::lasting(keys::job(write.job), keys::encode(&entry));
                 transaction.puts.push(put);
@@ -46,71 +46,74 @@
         transaction
     }
 
-    /// Adds what was learned of images, from time to time.
-    pub(super) fn add_learned(&mut self, transaction: &mut Transaction) {
+    /// Adds the learned pressures if they are due and have changed; updates the gauges.
+    pub(super) fn add_pressures(&mut self, transaction: &mut Transaction) {
         let now = self.clock.now();
-        if now.since(self.learned_at) < LEARNED_MS {
+        if now.since(self.pressures_at) < PRESSURES_INTERVAL_MS {
             return;
         }
-        self.learned_at = now;
+        self.pressures_at = now;
         let (workers, runs) = self.dispatcher.counts(now);
-        observe::owned(workers, runs);
+        observe::set_owner_gauges(workers, runs);
         let learned = self.dispatcher.learned();
-        if learned != self.learned {
-            let put = Put::lasting(keys::LEARNED.to_owned(), keys::encode(&learned));
+        if learned != self.stored_pressures {
+            let put = Put::lasting(keys::PRESSURES.to_owned(), keys::encode(&learned));
             transaction.puts.push(put);
-            self.learned = learned;
+            self.stored_pressures = learned;
         }
     }
 
-    /// Sends the commit under way, after a pause.
-    pub(super) fn send_commit(&mut self, pause: Duration) {
-        let Some((transaction, _)) = &self.commit else {
+    /// Sends the commit in flight after a delay.
+    pub(super) fn send_commit(&mut self, delay: Duration) {
+        let Some((transaction, _)) = &self.pending_commit else {
             return;
         };
         let transaction = transaction.clone();
         let kv = self.shared.platform.kv().clone();
         let sender = self.sender.clone();
         self.calls.spawn_local(async move {
-            tokio::time::sleep(pause).await;
+            tokio::time::sleep(delay).await;
             let result = kv.commit(&transaction).await;
-            // The loop may have ended meanwhile.
+            // The loop may have ended.
             let _ = sender.send(OwnerEvent::Committed(result));
         });
     }
 
-    pub(super) fn committed(&mut self, result: Result<u64, KvError>) -> Option<Outcome> {
+    pub(super) fn handle_committed(&mut self, result: Result<u64, KvError>) -> Option<Outcome> {
         let now = self.clock.now();
-        if let Some((_, since)) = &self.commit {
-            observe::committed(result.is_ok(), since.elapsed());
+        if let Some((_, since)) = &self.pending_commit {
+            observe::record_commit(result.is_ok(), since.elapsed());
         }
         match result {
             Ok(revision) => {
                 self.commit_revision = revision;
-                self.commit = None;
+                self.pending_commit = None;
                 self.dispatcher.written(now);
             }
             Err(KvError::Conflict { items }) => {
-                // An earlier attempt without an answer may have been carried out.
-                let own = self.commit.as_ref().map(|(t, _)| t.puts[0].value.clone());
+                // An earlier attempt that got no answer may have been applied.
+                let own_mark = self
+                    .pending_commit
+                    .as_ref()
+                    .map(|(t, _)| t.puts[0].value.clone());
                 let owner = items.iter().find(|item| item.key == keys::OWNER);
                 let last = items.iter().find(|item| item.key == keys::COMMIT);
                 let is_owner = owner.is_some_and(|item| item.created == self.term.fence);
-                let done = last.filter(|item| Some(&item.value) == own.as_ref());
-                let Some(done) = done.filter(|_| is_owner) else {
+                let applied = last.filter(|item| Some(&item.value) == own_mark.as_ref());
+                let Some(applied) = applied.filter(|_| is_owner) else {
                     return Some(if owner.is_none() {
                         Outcome::LeaseEnded
                     } else {
                         Outcome::Superseded
                     });
                 };
-                self.commit_revision = done.revision;
-                self.commit = None;
+                self.commit_revision = applied.revision;
+                self.pending_commit = None;
                 self.dispatcher.written(now);
             }
             Err(error) => {
-                log::info!("a commit is repeated: {error}");
-                self.send_commit(follow::retry_wait());
+                log::info!("a commit failed and is sent again: {error}");
+                self.send_commit(watcher::retry_delay());
             }
         }
         None
--- a/crates/verbenahitch/src/entry/owner/driver.rs
+++ b/crates/verbenahitch/src/entry/owner/driver.rs
@@ -1,4 +1,4 @@
-//! The loop itself: events in, passes, orders out.
+//! Event loop of the owner: handles events, runs the dispatcher's passes, sends its orders.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -10,36 +10,40 @@
 use crate::collections::HashMap;
 use crate::dispatch::{Bounds, Dispatcher, JobId, Now, Order, Pressure, ProgressRecord};
 use crate::domain::{Millis, Monotonic};
-use crate::entry::follow::News;
+use crate::entry::election::Term;
+use crate::entry::host::Shared;
 use crate::entry::keys::{self, IntakeKey, JobEntry};
-use crate::entry::lead::Term;
-use crate::entry::node::Shared;
 use crate::entry::observe;
 use crate::entry::pause::PauseDetector;
+use crate::entry::watcher::WatchUpdate;
 use crate::event::{Entry, Kind};
 use crate::port::{Clock, Item, KeyValue, KvError, Platform, SystemClock, Transaction};
 
 /// Longest time between two passes, in milliseconds.
 const TICK_MS: Millis = 50;
 
-/// Length of the workers' leases in milliseconds, if they give as much: a zone that
-/// is cut off for some seconds goes on working, and the tasks of a worker that is
-/// lost for good start elsewhere not much later.
+/// Length of the workers' leases in milliseconds, unless the workers' limit is lower.
+/// Long enough that a zone keeps working through a partition of some seconds, and short
+/// enough that the tasks of a lost worker soon start elsewhere.
 const WORKER_LEASE_MS: Millis = 8_000;
 
-/// How long an owner acts without the store or most workers, in milliseconds.
+/// How long an owner acts with answers neither from the store nor from most workers, in
+/// milliseconds.
 const QUORUM_MS: Millis = 1_500;
 
-/// How long a vanished entry of the registry may come back, in milliseconds. From
-/// the bound on its return after an outage of the store, with some for the watch.
+/// How long an entry may be missing from the registry before its worker gets no more
+/// tasks, in milliseconds. The bound on its return after an outage of the store, plus
+/// the delay of the watch.
 const RELIST_MS: Millis = 2_500;
 
-/// Most jobs in one commit: three entries each, the conditions, the mark and what was
-/// learned make up what one transaction takes.
-const COMMIT_JOBS: usize = 8;
+/// Largest number of jobs in one commit. Three entries per job, the conditions, the
+/// commit mark and the learned pressures fill the largest transaction that the store
+/// accepts.
+const MAX_COMMIT_JOBS: usize = 8;
 
-/// Longest time that a planned hand-over waits for a commit under way, in milliseconds.
-const HANDOVER_MS: Millis = 500;
+/// Longest time that a planned hand-over waits for the commit in flight, in
+/// milliseconds.
+const HANDOVER_TIMEOUT_MS: Millis = 500;
 
 pub(super) struct Driver<P> {
     pub(super) shared: Rc<Shared<P>>,
@@ -47,17 +51,17 @@
     pub(super) clock: SystemClock,
     pub(super) sender: Sender,
     pub(super) dispatcher: Dispatcher,
-    /// Names by key of the registry.
-    pub(super) listed: HashMap<String, String>,
+    /// Worker names by registry key.
+    pub(super) worker_names: HashMap<String, String>,
     pub(super) commit_revision: u64,
-    pub(super) learned: Vec<Pressure>,
-    pub(super) learned_at: Monotonic,
-    pub(super) commit: Option<(Transaction, Instant)>,
+    pub(super) stored_pressures: Vec<Pressure>,
+    pub(super) pressures_at: Monotonic,
+    pub(super) pending_commit: Option<(Transaction, Instant)>,
     pub(super) calls: JoinSet<()>,
 }
 
 impl<P: Platform> Driver<P> {
-    /// Reads what earlier owners and the other hosts have written.
+    /// Loads the state that earlier owners and the other hosts have stored.
     pub(super) async fn load(
         shared: &Rc<Shared<P>>,
         term: Term,
@@ -68,10 +72,10 @@
         let kv = shared.platform.kv();
         let (registry, progress, intake, commit, learned) = tokio::join!(
             kv.range(shared.platform.registry_prefix()),
-            kv.range(keys::PROGRESS),
-            kv.range(keys::INTAKE),
+            kv.range(keys::PROGRESS_PREFIX),
+            kv.range(keys::INTAKE_PREFIX),
             kv.get(keys::COMMIT),
-            kv.get(keys::LEARNED),
+            kv.get(keys::PRESSURES),
         );
         let bounds = Bounds {
             lease_ms: WORKER_LEASE_MS.min(shared.settings.lease_max),
@@ -84,24 +88,24 @@
             clock,
             sender,
             dispatcher: Dispatcher::new(bounds, clock.now()),
-            listed: HashMap::default(),
+            worker_names: HashMap::default(),
             commit_revision: commit?.map_or(0, |item| item.revision),
-            commit: None,
-            learned: Vec::new(),
-            learned_at: clock.now(),
+            pending_commit: None,
+            stored_pressures: Vec::new(),
+            pressures_at: clock.now(),
             calls: JoinSet::new(),
         };
-        if let Some(learned) = learned?.as_ref().and_then(read::<Vec<Pressure>>) {
+        if let Some(learned) = learned?.as_ref().and_then(decode::<Vec<Pressure>>) {
             driver.dispatcher.relearn(&learned);
         }
         driver.declare();
-        driver.hear_registry(News::All(registry?.0));
+        driver.apply_registry(WatchUpdate::Listed(registry?.0));
         let mut records: HashMap<JobId, ProgressRecord> = HashMap::default();
         for item in &progress?.0 {
             let Some(id) = keys::parse_progress(&item.key) else {
                 continue;
             };
-            if let Some(record) = read(item) {
+            if let Some(record) = decode(item) {
                 records.insert(id, record);
             }
         }
@@ -109,9 +113,9 @@
         for item in &intake {
             driver.recover(item, &mut records);
         }
-        driver.hear_intake(News::All(intake));
+        driver.apply_intake(WatchUpdate::Listed(intake));
         Entry::new(Kind::ShardRecovered)
-            .with("workers", driver.listed.len())
+            .with("workers", driver.worker_names.len())
             .with("took-ms", began.elapsed().as_millis() as u64)
             .emit();
         Ok(driver)
@@ -122,7 +126,7 @@
             return;
         };
         let now = self.now();
-        match read::<JobEntry>(item) {
+        match decode::<JobEntry>(item) {
             Some(JobEntry::Open(record)) => {
                 self.dispatcher
                     .recover(id, record, records.remove(&id), now);
@@ -150,11 +154,13 @@
     ) -> Outcome {
         let mut pauses = PauseDetector::new();
         loop {
-            self.act();
+            self.run_pass();
             let tick = Duration::from_millis(TICK_MS);
             let event = tokio::time::timeout(tick, events.recv()).await;
             if pauses.has_paused() {
-                log::warn!("this process stood still; nothing is ordered until the store confirms");
+                log::warn!(
+                    "this process was paused; orders are suspended until the owner's lease is renewed"
+                );
                 self.dispatcher.suspend(true);
             }
             let mut next = event.ok().flatten();
@@ -171,11 +177,11 @@
         }
     }
 
-    /// Waits for the commit under way before a planned hand-over.
-    pub(super) async fn settle(&mut self, events: &mut mpsc::UnboundedReceiver<OwnerEvent>) {
-        let limit = Duration::from_millis(HANDOVER_MS);
+    /// Waits for the commit in flight before a planned hand-over.
+    pub(super) async fn finish_commit(&mut self, events: &mut mpsc::UnboundedReceiver<OwnerEvent>) {
+        let limit = Duration::from_millis(HANDOVER_TIMEOUT_MS);
         let waiting = async {
-            while self.commit.is_some() {
+            while self.pending_commit.is_some() {
                 let Some(event) = events.recv().await else {
                     return;
                 };
@@ -185,7 +191,7 @@
             }
         };
         if tokio::time::timeout(limit, waiting).await.is_err() {
-            log::info!("the last commit was not answered before the hand-over");
+            log::info!("no answer to the last commit before the hand-over");
         }
     }
 
@@ -206,9 +212,9 @@
             OwnerEvent::Paced(run, percent, result) => {
                 self.dispatcher.paced(run, percent, result, now.at);
             }
-            OwnerEvent::Committed(result) => return self.committed(result),
-            OwnerEvent::Registry(news) => self.hear_registry(news),
-            OwnerEvent::Intake(news) => self.hear_intake(news),
+            OwnerEvent::Committed(result) => return self.handle_committed(result),
+            OwnerEvent::Registry(update) => self.apply_registry(update),
+            OwnerEvent::Intake(update) => self.apply_intake(update),
             OwnerEvent::Declared => self.declare(),
             OwnerEvent::Renewed(sent) => {
                 self.dispatcher.confirm(sent);
@@ -220,24 +226,24 @@
         None
     }
 
-    /// Makes one pass, and starts what it decided on.
-    fn act(&mut self) {
+    /// Runs one pass, and sends its orders and the next commit.
+    fn run_pass(&mut self) {
         let now = self.now();
         for order in self.dispatcher.pass(now) {
-            self.carry_out(order);
+            self.send_order(order);
         }
-        if self.commit.is_none() {
-            let writes = self.dispatcher.take_writes(COMMIT_JOBS);
+        if self.pending_commit.is_none() {
+            let writes = self.dispatcher.take_writes(MAX_COMMIT_JOBS);
             if !writes.is_empty() {
-                let mut transaction = self.transaction(&writes);
-                self.add_learned(&mut transaction);
-                self.commit = Some((transaction, Instant::now()));
+                let mut transaction = self.build_transaction(&writes);
+                self.add_pressures(&mut transaction);
+                self.pending_commit = Some((transaction, Instant::now()));
                 self.send_commit(Duration::ZERO);
             }
         }
     }
 
-    fn carry_out(&mut self, order: Order) {
+    fn send_order(&mut self, order: Order) {
         let platform = self.shared.platform.clone();
         let sender = self.sender.clone();
         let fence = self.term.fence;
@@ -270,19 +276,19 @@
                     ("pace", is_ok, event)
                 }
             };
-            observe::ordered(kind, is_ok, began.elapsed());
-            // The loop may have ended meanwhile.
+            observe::record_order(kind, is_ok, began.elapsed());
+            // The loop may have ended.
             let _ = sender.send(event);
         });
     }
 }
 
-/// Value of an item; one that cannot be read is logged.
-pub(super) fn read<T: serde::de::DeserializeOwned>(item: &Item) -> Option<T> {
+/// Decodes the value of an item; logs one that cannot be decoded.
+pub(super) fn decode<T: serde::de::DeserializeOwned>(item: &Item) -> Option<T> {
     match serde_json::from_slice(&item.value) {
         Ok(value) => Some(value),
         Err(error) => {
-            log::error!("{} cannot be read: {error}", item.key);
+            log::error!("the value of {} cannot be parsed: {error}", item.key);
             None
         }
     }
--- a/crates/verbenahitch/src/entry/owner/mod.rs
+++ b/crates/verbenahitch/src/entry/owner/mod.rs
@@ -1,8 +1,8 @@
-//! The owner's part: it feeds the dispatcher and carries its orders out.
+//! The owner: feeds the dispatcher with events and carries out its orders.
 
 mod commit;
 mod driver;
-mod hear;
+mod updates;
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinSet;
 
-use super::follow::{self, News, Pacing, follow};
+use super::election::{self, LEASE_MS, Term};
+use super::host::Shared;
 use super::keys;
-use super::lead::{self, LEASE_MS, Term};
-use super::node::Shared;
+use super::watcher::{self, WatchTiming, WatchUpdate, watch_prefix};
 use crate::dispatch::{CallFailure, JobId, JobRecord, JobState, Report, RunKey, WorkerKey};
 use crate::domain::{Millis, Monotonic};
 use crate::port::{Clock, KeyValue, KvError, Platform, SystemClock};
@@ -22,19 +22,20 @@
 /// Time between two renewals of the owner's lease, in milliseconds.
 const RENEW_MS: Millis = LEASE_MS / 4;
 
-/// How the intake is followed; most jobs are announced before.
-const FOLLOW_INTAKE: Pacing = Pacing {
+/// Timing of the watch on the intake. It can be slow, since hosts notify the owner of
+/// most jobs directly.
+const INTAKE_WATCH: WatchTiming = WatchTiming {
     wait_ms: 1_000,
     pause_ms: 250,
 };
 
-/// How the registry is followed.
-const FOLLOW_REGISTRY: Pacing = Pacing {
+/// Timing of the watch on the registry.
+const REGISTRY_WATCH: WatchTiming = WatchTiming {
     wait_ms: 1_500,
     pause_ms: 100,
 };
 
-/// What the owner's loop hears.
+/// Event for the owner's loop.
 #[derive(Debug)]
 pub(super) enum OwnerEvent {
     Submitted(JobId, Box<JobRecord>),
@@ -46,54 +47,54 @@
     Stopped(RunKey, Result<Millis, CallFailure>),
     Paced(RunKey, u8, Result<Millis, CallFailure>),
     Committed(Result<u64, KvError>),
-    Registry(News),
-    Intake(News),
+    Registry(WatchUpdate),
+    Intake(WatchUpdate),
     Declared,
     Renewed(Monotonic),
     LeaseEnded,
     Stop,
 }
 
-/// Why an ownership has ended.
+/// Why a period of ownership ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Outcome {
-    /// The store says that the lease has ended.
+    /// The owner's lease has ended.
     LeaseEnded,
-    /// A worker has seen a higher token, or another owner has written.
+    /// A worker has seen a higher fencing token, or another owner has committed.
     Superseded,
-    /// What has to be known could not be read.
+    /// The stored state could not be read.
     Unreadable,
-    /// The process was told to stop.
+    /// The process is stopping.
     Stopped,
 }
 
 type Sender = mpsc::UnboundedSender<OwnerEvent>;
 
-/// Owns the dispatching until the ownership ends.
+/// Runs the dispatcher until the ownership ends.
 pub(super) async fn run<P: Platform>(
     shared: &Rc<Shared<P>>,
     term: Term,
     sender: Sender,
     mut events: mpsc::UnboundedReceiver<OwnerEvent>,
 ) -> Outcome {
-    let mut helpers = JoinSet::new();
+    let mut background = JoinSet::new();
     let clock = SystemClock::default();
-    helpers.spawn_local(renew(Rc::clone(shared), term, clock, sender.clone()));
+    background.spawn_local(renew(Rc::clone(shared), term, clock, sender.clone()));
     let mut driver = match Driver::load(shared, term, clock, sender.clone()).await {
         Ok(driver) => driver,
         Err(error) => {
-            log::error!("the state cannot be read: {error}");
-            lead::abandon(shared.platform.kv(), term.lease).await;
+            log::error!("the stored state cannot be read: {error}");
+            election::revoke_lease(shared.platform.kv(), term.lease).await;
             return Outcome::Unreadable;
         }
     };
-    helpers.spawn_local(watch_stop(shared.stopping.clone(), sender.clone()));
-    helpers.spawn_local(hear_intake(Rc::clone(shared), sender.clone()));
-    helpers.spawn_local(hear_registry(Rc::clone(shared), sender));
+    background.spawn_local(forward_stop(shared.stopping.clone(), sender.clone()));
+    background.spawn_local(watch_intake(Rc::clone(shared), sender.clone()));
+    background.spawn_local(watch_registry(Rc::clone(shared), sender));
     let outcome = driver.drive(&mut events).await;
     if outcome == Outcome::Stopped {
-        driver.settle(&mut events).await;
-        lead::abandon(shared.platform.kv(), term.lease).await;
+        driver.finish_commit(&mut events).await;
+        election::revoke_lease(shared.platform.kv(), term.lease).await;
     }
     outcome
 }
@@ -105,8 +106,8 @@
             Ok(()) => OwnerEvent::Renewed(sent),
             Err(KvError::NoLease) => OwnerEvent::LeaseEnded,
             Err(error) => {
-                log::info!("the owner's lease was not renewed: {error}");
-                follow::pause().await;
+                log::info!("the owner's lease could not be renewed: {error}");
+                watcher::back_off().await;
                 continue;
             }
         };
@@ -117,26 +118,26 @@
     }
 }
 
-async fn watch_stop(mut stopping: tokio::sync::watch::Receiver<bool>, sender: Sender) {
+async fn forward_stop(mut stopping: tokio::sync::watch::Receiver<bool>, sender: Sender) {
     if stopping.wait_for(|stopping| *stopping).await.is_ok() {
-        // The loop may have ended by itself.
+        // The loop may have ended.
         let _ = sender.send(OwnerEvent::Stop);
     }
 }
 
-async fn hear_intake<P: Platform>(shared: Rc<Shared<P>>, sender: Sender) {
+async fn watch_intake<P: Platform>(shared: Rc<Shared<P>>, sender: Sender) {
     let kv = shared.platform.kv();
-    follow(kv, keys::INTAKE, FOLLOW_INTAKE, |news| {
-        let _ = sender.send(OwnerEvent::Intake(news));
+    watch_prefix(kv, keys::INTAKE_PREFIX, INTAKE_WATCH, |update| {
+        let _ = sender.send(OwnerEvent::Intake(update));
     })
     .await;
 }
 
-async fn hear_registry<P: Platform>(shared: Rc<Shared<P>>, sender: Sender) {
+async fn watch_registry<P: Platform>(shared: Rc<Shared<P>>, sender: Sender) {
     let kv = shared.platform.kv();
     let prefix = shared.platform.registry_prefix();
-    follow(kv, prefix, FOLLOW_REGISTRY, |news| {
-        let _ = sender.send(OwnerEvent::Registry(news));
+    watch_prefix(kv, prefix, REGISTRY_WATCH, |update| {
+        let _ = sender.send(OwnerEvent::Registry(update));
     })
     .await;
 }
--- a/crates/verbenahitch/src/entry/owner/hear.rs
+++ b/crates/verbenahitch/src/entry/owner/updates.rs
@@ -1,44 +1,45 @@
-//! What the store's watches tell: the registry of workers, and the intake.
+//! Updates from the watches on the registry of workers and on the intake.
 
-use super::driver::{Driver, read};
-use crate::entry::follow::News;
+use super::driver::{Driver, decode};
 use crate::entry::keys::{self, IntakeKey, JobEntry};
+use crate::entry::watcher::WatchUpdate;
 use crate::event::{Entry, Kind};
 use crate::port::{Change, Clock, Item, Platform};
 
 impl<P: Platform> Driver<P> {
-    pub(super) fn hear_registry(&mut self, news: News) {
-        match news {
-            News::All(items) => {
-                let gone: Vec<String> = self
-                    .listed
+    pub(super) fn apply_registry(&mut self, update: WatchUpdate) {
+        match update {
+            WatchUpdate::Listed(items) => {
+                let removed: Vec<String> = self
+                    .worker_names
                     .keys()
                     .filter(|key| !items.iter().any(|item| item.key == **key))
                     .cloned()
                     .collect();
-                for key in gone {
-                    self.unlist(&key);
+                for key in removed {
+                    self.unlist_worker(&key);
                 }
                 for item in &items {
-                    self.list(item);
+                    self.list_worker(item);
                 }
             }
-            News::Changes(changes) => {
+            WatchUpdate::Changes(changes) => {
                 for change in changes {
                     match change {
-                        Change::Put(item) => self.list(&item),
-                        Change::Removed(key) => self.unlist(&key),
+                        Change::Put(item) => self.list_worker(&item),
+                        Change::Removed(key) => self.unlist_worker(&key),
                     }
                 }
             }
-            News::Nothing | News::Silence(_) => {}
+            WatchUpdate::Unchanged | WatchUpdate::Unavailable(_) => {}
         }
     }
 
-    pub(super) fn list(&mut self, item: &Item) {
+    pub(super) fn list_worker(&mut self, item: &Item) {
         match self.shared.platform.worker(item) {
             Ok(info) => {
-                self.listed.insert(item.key.clone(), info.name.clone());
+                self.worker_names
+                    .insert(item.key.clone(), info.name.clone());
                 self.dispatcher.list_worker(info, self.clock.now());
             }
             Err(cause) => {
@@ -47,35 +48,35 @@
                     .with("revision", item.revision)
                     .with("cause", cause)
                     .emit();
-                self.unlist(&item.key);
+                self.unlist_worker(&item.key);
             }
         }
     }
 
-    pub(super) fn unlist(&mut self, key: &str) {
-        if let Some(name) = self.listed.remove(key) {
+    pub(super) fn unlist_worker(&mut self, key: &str) {
+        if let Some(name) = self.worker_names.remove(key) {
             self.dispatcher.unlist_worker(&name, self.clock.now());
         }
     }
 
-    pub(super) fn hear_intake(&mut self, news: News) {
-        let items = match news {
-            News::All(items) => items,
-            News::Changes(changes) => changes
+    pub(super) fn apply_intake(&mut self, update: WatchUpdate) {
+        let items = match update {
+            WatchUpdate::Listed(items) => items,
+            WatchUpdate::Changes(changes) => changes
                 .into_iter()
                 .filter_map(|change| match change {
                     Change::Put(item) => Some(item),
                     Change::Removed(_) => None,
                 })
                 .collect(),
-            News::Nothing | News::Silence(_) => return,
+            WatchUpdate::Unchanged | WatchUpdate::Unavailable(_) => return,
         };
         let now = self.now();
         for item in &items {
             match keys::parse_intake(&item.key) {
                 Some(IntakeKey::Job(id)) => {
                     if self.dispatcher.state(id).is_none()
-                        && let Some(JobEntry::Open(record)) = read(item)
+                        && let Some(JobEntry::Open(record)) = decode(item)
                     {
                         self.dispatcher.submit(id, record, now);
                     }
--- a/crates/verbenahitch/src/entry/pause.rs
+++ b/crates/verbenahitch/src/entry/pause.rs
@@ -4,11 +4,11 @@
 
 use crate::domain::Millis;
 
-/// Gap between two readings that counts as a pause, in milliseconds. Half of the
-/// shortest time after which another host may own the dispatching.
-const PAUSE_MS: Millis = 700;
+/// Gap between two readings above which the process counts as paused, in
+/// milliseconds. Half of the shortest time after which another host can be owner.
+const PAUSE_THRESHOLD_MS: Millis = 700;
 
-/// Compares readings of the clock that goes on while the host is suspended.
+/// Compares readings of the boot-time clock, which also runs while the host is suspended.
 #[derive(Debug)]
 pub(super) struct PauseDetector {
     last: Millis,
@@ -19,12 +19,12 @@
         Self { last: boot_ms() }
     }
 
-    /// Whether the process stood still since the last reading.
+    /// Whether the process was paused since the last call.
     pub fn has_paused(&mut self) -> bool {
         let now = boot_ms();
         let gap = now.saturating_sub(self.last);
         self.last = now;
-        gap > PAUSE_MS
+        gap > PAUSE_THRESHOLD_MS
     }
 }
 
@@ -35,7 +35,7 @@
             Millis::try_from(millis).unwrap_or(0)
         }
         Err(error) => {
-            log::error!("the boot-time clock cannot be read: {error}");
+            log::error!("CLOCK_BOOTTIME cannot be read: {error}");
             0
         }
     }
