--- a/crates/verbenahitch/src/scheduler/daemon/acquire.rs
+++ b/crates/verbenahitch/src/scheduler/daemon/acquire.rs
@@ -1,29 +1,29 @@
-//! Taking over a shard in the store, and giving it back.
+//! Acquires and releases the lock of a shard in the store.
 
 use super::keys::{self, OwnerValue};
 use crate::adapter::Store;
 use crate::domain::{JobRecord, ShardId};
 use crate::port::{Entry, StoreError};
 
-/// What a new owner has read of its shard.
+/// State of a shard that a new owner has read from the store.
 #[derive(Debug)]
 pub(super) struct Acquired {
     /// Epoch of the ownership.
     pub(super) epoch: u64,
-    /// Whether the previous owner gave the shard up by itself.
+    /// Whether the previous owner released the shard.
     pub(super) released: bool,
-    /// Index of the newest change of the batch key.
+    /// Modify index of the batch key.
     pub(super) index: u64,
     /// Records of the jobs.
     pub(super) jobs: Vec<JobRecord>,
 }
 
-/// Tries to own `shard` under `session`; `None` if another process owns it.
+/// Tries to acquire `shard` under `session`; `None` if another process owns it.
 ///
 /// # Errors
 ///
-/// When the store gives no answer. The next try copes with a lock that was
-/// taken all the same.
+/// When the store gives no answer. The lock may have been acquired all the same;
+/// the next attempt handles this.
 pub(super) async fn acquire(
     store: &Store,
     shard: &ShardId,
@@ -41,10 +41,10 @@
         released: false,
     });
     if holder.is_some() {
-        // An earlier try took the lock; only locking it anew brings a new epoch.
+        // An earlier attempt acquired the lock; only acquiring it anew gives a new epoch.
         store.release(&key, value.clone(), session).await?;
     }
-    // Whether a lost answer took effect shows in the reading below.
+    // If the answer is lost, the read below shows whether the lock was acquired.
     if store.acquire(&key, value, session).await == Ok(false) {
         return Ok(None);
     }
@@ -69,16 +69,19 @@
 /// # Errors
 ///
 /// When the store gives no answer.
-pub(super) async fn handed(store: &Store, shard: &ShardId) -> Result<Vec<JobRecord>, StoreError> {
+pub(super) async fn read_inbox(
+    store: &Store,
+    shard: &ShardId,
+) -> Result<Vec<JobRecord>, StoreError> {
     let entries = store.list(&keys::inbox(shard)).await?;
     Ok(entries.iter().filter_map(decode).collect())
 }
 
-/// Gives `shard` up; `settled` says that only this owner's leases are left on it.
+/// Releases `shard`; `settled` says that no leases but those of this owner can remain on it.
 ///
 /// # Errors
 ///
-/// When the store gives no answer; the session's end unlocks the shard then.
+/// When the store gives no answer; the lock is then released when the session ends.
 pub(super) async fn release(
     store: &Store,
     shard: &ShardId,
@@ -93,7 +96,8 @@
     store.release(&keys::owner(shard), value, session).await
 }
 
-/// Whether nobody owned the shard between `before` and `after` and the owner before gave it up.
+/// Whether the previous owner released the shard and no other process owned it between `before`
+/// and `after`.
 fn was_released(before: Option<&Entry>, after: &Entry) -> bool {
     let Some(before) = before else {
         return after.lock == 1;
@@ -107,7 +111,10 @@
     match record {
         Ok(record) => Some(record),
         Err(error) => {
-            log::error!("record {} is kept but cannot be read: {error}", entry.key);
+            log::error!(
+                "job record {} cannot be read; it is skipped and stays in the store: {error}",
+                entry.key
+            );
             None
         }
     }
--- a/crates/verbenahitch/src/scheduler/daemon/commit.rs
+++ b/crates/verbenahitch/src/scheduler/daemon/commit.rs
@@ -1,8 +1,8 @@
 //! Group commit of a shard: one transaction that requires the shard's lock.
 //!
-//! Every transaction moves the shard's batch key by compare-and-swap. A
-//! transaction that was delayed therefore cannot take effect after a later one,
-//! and a lost answer is recognised by the value of that key.
+//! Every transaction updates the shard's batch key by compare-and-swap. A
+//! delayed transaction therefore cannot take effect after a later one, and the
+//! value of the key shows whether a transaction with a lost answer took effect.
 
 use super::keys::{self, BatchValue};
 use crate::adapter::Store;
@@ -18,14 +18,14 @@
     shard: ShardId,
     session: String,
     epoch: u64,
-    /// Index of the newest change of the batch key.
+    /// Modify index of the batch key.
     index: u64,
-    /// Jobs whose record still stands in the inbox.
-    handed: HashSet<JobId>,
+    /// Jobs whose record is still in the inbox.
+    in_inbox: HashSet<JobId>,
 }
 
 impl Writer {
-    /// Creates the writer of `epoch`; `index` is that of the newest change of the batch key.
+    /// Creates the writer of `epoch`; `index` is the modify index of the batch key.
     pub(super) fn new(store: Store, shard: ShardId, session: &str, epoch: u64, index: u64) -> Self {
         Self {
             store,
@@ -33,13 +33,13 @@
             session: session.to_owned(),
             epoch,
             index,
-            handed: HashSet::default(),
+            in_inbox: HashSet::default(),
         }
     }
 
-    /// Notes that the record of a job stands in the inbox until it is first written.
-    pub(super) fn expect_handed(&mut self, id: JobId) {
-        self.handed.insert(id);
+    /// Registers a job whose record is in the inbox; its first write deletes it there.
+    pub(super) fn expect_in_inbox(&mut self, id: JobId) {
+        self.in_inbox.insert(id);
     }
 
     /// Writes a batch.
@@ -52,7 +52,7 @@
         self.transact(batch.number, ops.collect()).await?;
         for write in &batch.writes {
             if let Write::Put(record) = write {
-                self.handed.remove(&record.id);
+                self.in_inbox.remove(&record.id);
             }
         }
         Ok(())
@@ -65,8 +65,8 @@
                     key: keys::job(&self.shard, &record.id),
                     value: keys::encode(record),
                 }];
-                if self.handed.contains(&record.id) {
-                    let key = keys::handed(&self.shard, &record.id);
+                if self.in_inbox.contains(&record.id) {
+                    let key = keys::inbox_job(&self.shard, &record.id);
                     ops.push(Op::Delete { key });
                 }
                 ops
@@ -76,7 +76,7 @@
                     key: keys::job(&self.shard, &record.id),
                 },
                 Op::Set {
-                    key: keys::handed(to, &record.id),
+                    key: keys::inbox_job(to, &record.id),
                     value: keys::encode(record),
                 },
                 Op::Set {
@@ -118,7 +118,7 @@
                 Ok(())
             }
             Ok(Txn::Conflict { .. }) | Err(StoreError::Unanswered { .. }) => {
-                self.settle(&value).await
+                self.resolve_outcome(&value).await
             }
             Err(error) => {
                 log::warn!("commit of shard {} failed: {error}", self.shard);
@@ -127,8 +127,8 @@
         }
     }
 
-    /// Finds out by reading whether the transaction that wrote `value` took effect.
-    async fn settle(&mut self, value: &[u8]) -> Result<(), CommitError> {
+    /// Reads from the store whether the transaction that wrote `value` took effect.
+    async fn resolve_outcome(&mut self, value: &[u8]) -> Result<(), CommitError> {
         let batch = self.store.get(&keys::batch(&self.shard)).await;
         let owner = self.store.get(&keys::owner(&self.shard)).await;
         let (Ok(batch), Ok(owner)) = (batch, owner) else {
--- a/crates/verbenahitch/src/scheduler/daemon/driver.rs
+++ b/crates/verbenahitch/src/scheduler/daemon/driver.rs
@@ -1,4 +1,4 @@
-//! Feeds the decision logic of one shard and carries out its actions.
+//! Event loop of one shard: passes inputs to its decision logic and executes the actions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,50 +16,51 @@
 use crate::scheduler::{Action, Answer, Batch, Input, Request, Shard, ShardStatus, SubmitError};
 
 /// Longest time between two steps, in milliseconds.
-const LONGEST_PAUSE_MS: u64 = 100;
+const MAX_PAUSE_MS: u64 = 100;
 
 /// Longest time between the decision on a sync and its sending, in milliseconds.
 ///
-/// A worker that has restarted meanwhile would not know an older call to refuse.
-const SEND_LIMIT_MS: u64 = 500;
+/// A worker that has restarted in between cannot recognise an older call as outdated and would
+/// accept it.
+const MAX_SEND_DELAY_MS: u64 = 500;
 
 /// Least time between two publications of the status, in milliseconds.
 const PUBLISH_MS: u64 = 200;
 
-/// Longest time that a release waits for the store, in milliseconds.
-const RELEASE_LIMIT_MS: u64 = 3_000;
+/// Longest time that a release waits for the store and the workers, in milliseconds.
+const RELEASE_TIMEOUT_MS: u64 = 3_000;
 
-/// Time after which a caller of a shard that is changing hands should return, in milliseconds.
+/// Time after which a caller should retry while the shard changes owner, in milliseconds.
 const RETRY_MS: u64 = 1_000;
 
-/// What reaches the driver of a shard.
+/// Message to the driver of a shard.
 pub(super) enum Message {
     /// Input of the decision logic.
     Input(Input),
-    /// A caller's question.
+    /// A request and the channel for its answer.
     Ask(Request, oneshot::Sender<Answer>),
-    /// A job that stands in the inbox.
-    Handed(Box<crate::domain::JobRecord>),
-    /// Give the shard up: finish what is under way, then end.
+    /// A job that was handed over and is in the inbox.
+    HandedOver(Box<crate::domain::JobRecord>),
+    /// Release the shard: complete the calls in progress, then exit.
     Release,
 }
 
-/// Why a driver ended.
+/// Why a driver exited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Ended {
-    /// It was told to give the shard up, and acts no more.
+pub(super) enum Exit {
+    /// It was told to release the shard and has no calls in progress.
     Released {
-        /// Whether only this owner's leases are left on the shard.
+        /// Whether no leases but those of this owner can remain on the shard.
         settled: bool,
     },
     /// Another process owns the shard.
     Superseded,
 }
 
-/// Work of a shard's commits, in order.
+/// Command to the task that runs a shard's commits, executed in order.
 enum Commit {
     Batch(Batch),
-    Handed(crate::domain::JobId),
+    ExpectInInbox(crate::domain::JobId),
 }
 
 /// Driver of one shard.
@@ -67,12 +68,12 @@
     shard: Shard,
     clock: Arc<dyn Clock>,
     workers: Workers,
-    inputs: mpsc::UnboundedReceiver<Message>,
+    messages: mpsc::UnboundedReceiver<Message>,
     sender: mpsc::UnboundedSender<Message>,
     commits: mpsc::UnboundedSender<Commit>,
     writer: JoinHandle<()>,
-    waiting: HashMap<u64, oneshot::Sender<Answer>>,
-    asked: u64,
+    replies: HashMap<u64, oneshot::Sender<Answer>>,
+    last_request: u64,
     syncs: tokio::task::JoinSet<()>,
     status: tokio::sync::watch::Sender<ShardStatus>,
     publish_due: Monotonic,
@@ -91,61 +92,61 @@
         ),
         status: tokio::sync::watch::Sender<ShardStatus>,
     ) -> Self {
-        let (sender, inputs) = channel;
-        let (commits, batches) = mpsc::unbounded_channel();
+        let (sender, messages) = channel;
+        let (commits, queued) = mpsc::unbounded_channel();
         Self {
             shard,
             clock,
             workers,
-            inputs,
-            writer: tokio::spawn(write(writer, batches, sender.clone())),
+            messages,
+            writer: tokio::spawn(run_commits(writer, queued, sender.clone())),
             sender,
             commits,
-            waiting: HashMap::default(),
-            asked: 0,
+            replies: HashMap::default(),
+            last_request: 0,
             syncs: tokio::task::JoinSet::new(),
             status,
             publish_due: Monotonic::default(),
         }
     }
 
-    /// Runs until the shard is given up or lost.
-    pub(super) async fn run(mut self) -> Ended {
+    /// Runs until the shard is released or lost.
+    pub(super) async fn run(mut self) -> Exit {
         let mut releasing = None;
         loop {
             let wake = self.shard.next_wake(self.clock.now());
-            let pause = wake.since(self.clock.now()).clamp(1, LONGEST_PAUSE_MS);
+            let pause = wake.since(self.clock.now()).clamp(1, MAX_PAUSE_MS);
             let message = tokio::select! {
-                message = self.inputs.recv() => message,
+                message = self.messages.recv() => message,
                 () = tokio::time::sleep(Duration::from_millis(pause)) => {
                     Some(Message::Input(Input::Tick))
                 }
             };
-            let ended = match message {
-                Some(Message::Input(Input::Lost)) => Some(Ended::Superseded),
+            let exit = match message {
+                Some(Message::Input(Input::Lost)) => Some(Exit::Superseded),
                 Some(Message::Input(input)) => self.step(input),
                 Some(Message::Ask(request, reply)) => self.ask(request, reply),
-                Some(Message::Handed(record)) => self.adopt(*record),
+                Some(Message::HandedOver(record)) => self.adopt(*record),
                 Some(Message::Release) | None => {
                     releasing = Some(self.clock.now());
                     self.step(Input::Release)
                 }
             };
-            if let Some(ended) = ended {
-                return self.finish(ended).await;
+            if let Some(exit) = exit {
+                return self.finish(exit).await;
             }
             if let Some(since) = releasing {
-                let late = self.clock.now().since(since) > RELEASE_LIMIT_MS;
-                if self.shard.is_released() || late {
+                let timed_out = self.clock.now().since(since) > RELEASE_TIMEOUT_MS;
+                if self.shard.is_released() || timed_out {
                     let settled = self.shard.is_released() && self.shard.is_settled();
-                    return self.finish(Ended::Released { settled }).await;
+                    return self.finish(Exit::Released { settled }).await;
                 }
             }
             self.publish();
         }
     }
 
-    /// Publishes the shard's status, whose cost grows with the shard, now and then.
+    /// Publishes the shard's status, at limited frequency because the cost grows with the shard.
     fn publish(&mut self) {
         let now = self.clock.now();
         if now >= self.publish_due {
@@ -154,28 +155,30 @@
         }
     }
 
-    fn ask(&mut self, body: Request, reply: oneshot::Sender<Answer>) -> Option<Ended> {
-        self.asked += 1;
-        self.waiting.insert(self.asked, reply);
+    fn ask(&mut self, body: Request, reply: oneshot::Sender<Answer>) -> Option<Exit> {
+        self.last_request += 1;
+        self.replies.insert(self.last_request, reply);
         self.step(Input::Asked {
-            request: self.asked,
+            request: self.last_request,
             body,
             wall_ms: self.clock.wall_ms(),
         })
     }
 
-    fn adopt(&mut self, record: crate::domain::JobRecord) -> Option<Ended> {
-        self.commits.send(Commit::Handed(record.id.clone())).ok();
-        self.asked += 1;
+    fn adopt(&mut self, record: crate::domain::JobRecord) -> Option<Exit> {
+        self.commits
+            .send(Commit::ExpectInInbox(record.id.clone()))
+            .ok();
+        self.last_request += 1;
         self.step(Input::Asked {
-            request: self.asked,
+            request: self.last_request,
             body: Request::Adopt(Box::new(record)),
             wall_ms: self.clock.wall_ms(),
         })
     }
 
-    fn step(&mut self, input: Input) -> Option<Ended> {
-        let mut ended = None;
+    fn step(&mut self, input: Input) -> Option<Exit> {
+        let mut exit = None;
         for action in self.shard.step(input, self.clock.now()) {
             match action {
                 Action::Sync {
@@ -187,15 +190,15 @@
                     self.commits.send(Commit::Batch(batch)).ok();
                 }
                 Action::Answer { request, body } => {
-                    if let Some(reply) = self.waiting.remove(&request) {
+                    if let Some(reply) = self.replies.remove(&request) {
                         reply.send(body).ok();
                     }
                 }
                 Action::Log(entry) => entry.emit(),
-                Action::StandDown => ended = Some(Ended::Superseded),
+                Action::StandDown => exit = Some(Exit::Superseded),
             }
         }
-        ended
+        exit
     }
 
     fn sync(&mut self, worker: String, address: String, request: SyncRequest) {
@@ -206,8 +209,8 @@
         while self.syncs.try_join_next().is_some() {}
         self.syncs.spawn(async move {
             let seq = request.seq;
-            let answer = if clock.now().since(sent) > SEND_LIMIT_MS {
-                let reason = "the process was paused before the call was sent".to_owned();
+            let answer = if clock.now().since(sent) > MAX_SEND_DELAY_MS {
+                let reason = "the process was paused between the decision and the call".to_owned();
                 Err(SyncError::Unreachable { reason })
             } else {
                 workers.sync(&address, &request).await
@@ -227,23 +230,23 @@
         });
     }
 
-    /// Waits for all that is under way, so that nothing of this owner acts later.
-    async fn finish(mut self, ended: Ended) -> Ended {
+    /// Waits for all calls in progress, so that none of this owner's takes effect later.
+    async fn finish(mut self, exit: Exit) -> Exit {
         let now = self.clock.now();
         for action in self.shard.step(Input::Lost, now) {
-            if let (Action::Log(entry), Ended::Superseded) = (action, ended) {
+            if let (Action::Log(entry), Exit::Superseded) = (action, exit) {
                 entry.emit();
             }
         }
         while self.syncs.join_next().await.is_some() {}
         drop(self.commits);
         self.writer.await.ok();
-        for (_, reply) in self.waiting.drain() {
-            let reason = "the shard changes hands".to_owned();
+        for (_, reply) in self.replies.drain() {
+            let reason = "the shard is changing owners".to_owned();
             let unclear = SubmitError::Unclear { reason };
             reply.send(Answer::Refused(unclear)).ok();
         }
-        ended
+        exit
     }
 }
 
@@ -255,14 +258,14 @@
     })
 }
 
-async fn write(
+async fn run_commits(
     mut writer: Writer,
     mut commits: mpsc::UnboundedReceiver<Commit>,
     sender: mpsc::UnboundedSender<Message>,
 ) {
     while let Some(commit) = commits.recv().await {
         match commit {
-            Commit::Handed(id) => writer.expect_handed(id),
+            Commit::ExpectInInbox(id) => writer.expect_in_inbox(id),
             Commit::Batch(batch) => {
                 let result = writer.commit(&batch).await;
                 let outcome = if result.is_ok() { "stored" } else { "failed" };
@@ -275,7 +278,7 @@
     }
 }
 
-/// Entry that says how the ownership of a shard changed.
-pub(super) fn ownership(kind: Kind, shard: &str, epoch: u64) -> Entry {
+/// Log entry about a change of a shard's ownership.
+pub(super) fn ownership_event(kind: Kind, shard: &str, epoch: u64) -> Entry {
     Entry::new(kind).with("shard", shard).with("epoch", epoch)
 }
--- a/crates/verbenahitch/src/scheduler/daemon/keys.rs
+++ b/crates/verbenahitch/src/scheduler/daemon/keys.rs
@@ -1,4 +1,4 @@
-//! Keys and small values of a shard in the store.
+//! Keys of a shard in the store, and the values of its lock and batch keys.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,11 +13,11 @@
 pub(super) struct OwnerValue {
     /// Name of the process that wrote it.
     pub(super) owner: String,
-    /// Whether that process gave the shard up and acts on it no more.
+    /// Whether that process released the shard and no longer acts on it.
     pub(super) released: bool,
 }
 
-/// Value that every batch writes, by which a lost answer is recognised.
+/// Value that every batch writes, which shows whether a batch with a lost answer took effect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(super) struct BatchValue {
@@ -53,7 +53,7 @@
 }
 
 /// Key of a job that was handed over to a shard.
-pub(super) fn handed(shard: &ShardId, id: &JobId) -> String {
+pub(super) fn inbox_job(shard: &ShardId, id: &JobId) -> String {
     format!("{}{id}", inbox(shard))
 }
 
@@ -64,5 +64,5 @@
 
 /// Value in its stored form.
 pub(super) fn encode(value: &impl Serialize) -> Vec<u8> {
-    serde_json::to_vec(value).expect("values of the store have no keys that are not text")
+    serde_json::to_vec(value).expect("values in the store have only string keys")
 }
--- a/crates/verbenahitch/src/scheduler/daemon/mod.rs
+++ b/crates/verbenahitch/src/scheduler/daemon/mod.rs
@@ -1,13 +1,13 @@
-//! The scheduler daemon: owns shards under a store session and drives their
+//! The scheduler daemon: owns shards under a store session and runs their
 //! decision logic.
 
 mod acquire;
 mod commit;
 mod driver;
-mod errand;
 pub(crate) mod keys;
 mod owner;
 mod session;
+mod store_poll;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,7 +27,7 @@
 /// Why the scheduler could not start.
 #[derive(Debug, Snafu)]
 pub enum DaemonError {
-    /// The token that processes show each other cannot be read.
+    /// The token that authenticates processes to each other cannot be read.
     #[snafu(display("{source}"))]
     Token {
         /// Cause.
@@ -59,13 +59,13 @@
 }
 
 impl Running {
-    /// Releases all shards and waits until nothing of this owner acts any more.
+    /// Releases all shards and waits until this owner has no calls in progress.
     pub async fn stop(self) {
         self.stop.send_replace(true);
         self.main.await.ok();
     }
 
-    /// Ends at once, as a crash would: nothing is released.
+    /// Stops immediately, as a crash would, without releasing the shards.
     pub fn abort(self) {
         self.main.abort();
     }
@@ -93,7 +93,7 @@
     let current = Current::default();
     let exporter = Exporter::start(settings.scheduler.metrics);
     let exporter = exporter.await.context(MetricsSnafu)?;
-    let (handle, asked) = join(&settings, &current, &clock)?;
+    let (handle, requests) = start_node(&settings, &current, &clock)?;
     let peers = handle.address();
     Entry::new(Kind::Started)
         .with("zone", &settings.zone)
@@ -101,7 +101,7 @@
         .with("metrics", exporter.address())
         .emit();
     let (stop, stopping) = watch::channel(false);
-    let run = main(settings, clock, current.clone(), handle, asked, stopping);
+    let run = main(settings, clock, current.clone(), handle, requests, stopping);
     let main = tokio::spawn(async move {
         run.await;
         exporter.stop().await;
@@ -119,7 +119,7 @@
     format!("{}/scheduler", settings.name)
 }
 
-fn join(
+fn start_node(
     settings: &Settings,
     current: &Current,
     clock: &Arc<dyn Clock>,
@@ -147,7 +147,7 @@
     clock: Arc<dyn Clock>,
     current: Current,
     handle: Handle,
-    asked: mpsc::Receiver<Incoming>,
+    requests: mpsc::Receiver<Incoming>,
     stopping: watch::Receiver<bool>,
 ) {
     let platform = &settings.platform;
@@ -158,10 +158,10 @@
         &platform.service,
         platform.timeout_ms,
     );
-    let mut helpers = tokio::task::JoinSet::new();
+    let mut background = tokio::task::JoinSet::new();
     let (session, sessions) = watch::channel(None);
-    helpers.spawn(
-        session::Keeper {
+    background.spawn(
+        session::KeepAlive {
             store: store.clone(),
             handle: handle.clone(),
             clock: clock.clone(),
@@ -171,9 +171,9 @@
         }
         .run(),
     );
-    let (hosts, known) = watch::channel(Arc::new(Vec::new()));
-    helpers.spawn(list.poll(platform.hosts_interval_ms, hosts));
-    helpers.spawn(config::watch::run(
+    let (hosts, hosts_watch) = watch::channel(Arc::new(Vec::new()));
+    background.spawn(list.poll(platform.hosts_interval_ms, hosts));
+    background.spawn(config::watch::run(
         store.clone(),
         current.clone(),
         handle.clone(),
@@ -186,9 +186,9 @@
         current,
         handle.clone(),
         sessions,
-        known,
+        hosts_watch,
     );
-    owner.run(asked, stopping).await;
+    owner.run(requests, stopping).await;
     handle.stop().await;
     Entry::new(Kind::Stopped).emit();
 }
--- a/crates/verbenahitch/src/scheduler/daemon/owner/mod.rs
+++ b/crates/verbenahitch/src/scheduler/daemon/owner/mod.rs
@@ -1,4 +1,7 @@
-//! Decides which shards this process owns, and feeds their drivers.
+//! Decides which shards this process owns, and keeps their drivers up to date.
+//!
+//! A periodic reconciliation compares the owned shards with those that this
+//! process should own.
 
 mod release;
 mod vacancy;
@@ -12,10 +15,10 @@
 
 use super::acquire::Acquired;
 use super::commit::Writer;
-use super::driver::{Driver, Ended, Message, not_owner};
-use super::errand::Found;
+use super::driver::{Driver, Exit, Message, not_owner};
 use super::process_name;
 use super::session::Session;
+use super::store_poll::PollResult;
 use crate::adapter::{Store, Workers};
 use crate::collections::{HashMap, HashSet};
 use crate::config::{Current, Permit};
@@ -27,11 +30,11 @@
 use crate::scheduler::{Input, Params, Shard, ShardStatus};
 use crate::settings::Settings;
 
-/// Time between two looks at what is owned and what should be, in milliseconds.
-const LOOK_MS: u64 = 200;
+/// Time between two rounds of reconciliation, in milliseconds.
+const RECONCILE_MS: u64 = 200;
 
-/// Looks between two readings of an inbox.
-const INBOX_LOOKS: u64 = 5;
+/// Reconciliation rounds between two reads of the inboxes.
+const INBOX_ROUNDS: u64 = 5;
 
 /// Driver of a shard that this process owns.
 struct Owned {
@@ -39,8 +42,9 @@
     epoch: u64,
     sender: mpsc::UnboundedSender<Message>,
     status: watch::Receiver<ShardStatus>,
-    driver: JoinHandle<Ended>,
-    handed: HashSet<JobId>,
+    driver: JoinHandle<Exit>,
+    /// Jobs of the inbox that were passed to the driver.
+    adopted: HashSet<JobId>,
     revision: u64,
     hosts: Arc<Vec<HostRecord>>,
 }
@@ -58,18 +62,18 @@
     hosts: watch::Receiver<Arc<Vec<HostRecord>>>,
     permits: HashMap<String, Permit>,
     owned: HashMap<ShardId, Owned>,
-    vacant: HashMap<ShardId, Monotonic>,
-    errand: Option<JoinHandle<Found>>,
-    /// Shards that are being given up.
-    leaving: JoinSet<()>,
-    /// Shards that were given up, and until when this process leaves them alone.
-    shunned: HashMap<ShardId, Monotonic>,
-    looks: u64,
+    vacant_since: HashMap<ShardId, Monotonic>,
+    poll: Option<JoinHandle<PollResult>>,
+    /// Releases in progress.
+    releases: JoinSet<()>,
+    /// Shards that this process has released, and until when it does not acquire them again.
+    cooldowns: HashMap<ShardId, Monotonic>,
+    rounds: u64,
     inbox_due: u64,
 }
 
 impl Owner {
-    /// Creates the owner of no shards.
+    /// Creates an owner without shards.
     pub(super) fn new(
         settings: Settings,
         store: Store,
@@ -91,11 +95,11 @@
             hosts,
             permits: HashMap::default(),
             owned: HashMap::default(),
-            vacant: HashMap::default(),
-            errand: None,
-            leaving: JoinSet::new(),
-            shunned: HashMap::default(),
-            looks: 0,
+            vacant_since: HashMap::default(),
+            poll: None,
+            releases: JoinSet::new(),
+            cooldowns: HashMap::default(),
+            rounds: 0,
             inbox_due: 0,
         }
     }
@@ -103,15 +107,15 @@
     /// Runs until `stopping` becomes true, then releases every shard.
     pub(super) async fn run(
         mut self,
-        mut asked: mpsc::Receiver<Incoming>,
+        mut requests: mpsc::Receiver<Incoming>,
         mut stopping: watch::Receiver<bool>,
     ) {
-        let mut look = tokio::time::interval(Duration::from_millis(LOOK_MS));
-        look.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut reconcile = tokio::time::interval(Duration::from_millis(RECONCILE_MS));
+        reconcile.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                _ = look.tick() => self.look().await,
-                Some(incoming) = asked.recv() => self.pass_on(incoming),
+                _ = reconcile.tick() => self.reconcile().await,
+                Some(incoming) = requests.recv() => self.forward(incoming),
                 () = stopped(&mut stopping) => break,
             }
         }
@@ -120,7 +124,7 @@
         self.release_all().await;
     }
 
-    fn pass_on(&self, incoming: Incoming) {
+    fn forward(&self, incoming: Incoming) {
         let Incoming {
             shard,
             request,
@@ -137,17 +141,17 @@
         }
     }
 
-    async fn look(&mut self) {
-        self.looks += 1;
+    async fn reconcile(&mut self) {
+        self.rounds += 1;
         let now = self.clock.now();
         let permit = self.permit(&self.settings.zone.clone(), now);
         self.handle.set_permit(permit);
         let session = self.sessions.borrow().clone();
         self.drop_lost(session.as_ref()).await;
         if let Some(session) = session {
-            self.feed(&session, now);
+            self.update_drivers(&session, now);
             self.balance(&session, now);
-            self.consult_store(&session, now).await;
+            self.poll_store(&session, now).await;
         }
         self.publish();
     }
@@ -167,7 +171,7 @@
     /// Ends the drivers of shards that another process owns or whose session has lapsed.
     async fn drop_lost(&mut self, session: Option<&Session>) {
         let members = self.handle.members();
-        let newest = |shard: &ShardId| {
+        let highest_epoch = |shard: &ShardId| {
             let name = shard.to_string();
             let claims = members.iter().flat_map(|member| &member.shards);
             let claims = claims.filter(|claim| claim.shard == name);
@@ -179,7 +183,7 @@
             .filter(|(shard, owned)| {
                 session.is_none_or(|session| session.id != owned.session)
                     || owned.driver.is_finished()
-                    || newest(shard) > owned.epoch
+                    || highest_epoch(shard) > owned.epoch
             })
             .map(|(shard, _)| shard.clone())
             .collect();
@@ -191,7 +195,7 @@
         }
     }
 
-    fn feed(&mut self, session: &Session, now: Monotonic) {
+    fn update_drivers(&mut self, session: &Session, now: Monotonic) {
         let declared = self.current.load();
         let hosts = self.hosts.borrow().clone();
         let authority = session.renewed + self.settings.scheduler.outage_ms;
@@ -215,12 +219,12 @@
                     .zones
                     .get(&shard.zone)
                     .map_or(1, |zone| zone.shards);
-                send(Input::Hosts(members_of(shard, shards, &hosts)));
+                send(Input::Hosts(workers_of(shard, shards, &hosts)));
             }
         }
     }
 
-    fn drive(&self, shard: &ShardId, session: &Session, acquired: Acquired) -> Owned {
+    fn start_driver(&self, shard: &ShardId, session: &Session, acquired: Acquired) -> Owned {
         let epoch = acquired.epoch;
         let params = Params::new(shard.clone(), &self.name, &self.settings.scheduler, epoch);
         let logic = Shard::new(params);
@@ -255,7 +259,7 @@
             sender,
             status: watched,
             driver: tokio::spawn(driver.run()),
-            handed: HashSet::default(),
+            adopted: HashSet::default(),
             revision: declared.revision,
             hosts: Arc::new(Vec::new()),
         }
@@ -283,7 +287,7 @@
 }
 
 /// Workers of `shard` among `hosts`.
-fn members_of(shard: &ShardId, shards: u32, hosts: &[HostRecord]) -> Vec<HostRecord> {
+fn workers_of(shard: &ShardId, shards: u32, hosts: &[HostRecord]) -> Vec<HostRecord> {
     let in_shard = |host: &&HostRecord| {
         host.zone == shard.zone && ShardId::holding(&host.zone, &host.name, shards) == *shard
     };
--- a/crates/verbenahitch/src/scheduler/daemon/owner/vacancy.rs
+++ b/crates/verbenahitch/src/scheduler/daemon/owner/vacancy.rs
@@ -1,70 +1,70 @@
-//! Calls to the store for inboxes and for shards that nobody owns.
+//! Polls the store for inboxes and for shards without an owner.
 
-use super::{INBOX_LOOKS, Owner};
+use super::{INBOX_ROUNDS, Owner};
 use crate::collections::HashSet;
 use crate::domain::{Monotonic, ShardId};
 use crate::membership::Choice;
 use crate::scheduler::daemon::driver::Message;
-use crate::scheduler::daemon::errand::{Errand, Found};
 use crate::scheduler::daemon::session::Session;
+use crate::scheduler::daemon::store_poll::{PollResult, StorePoll};
 
 impl Owner {
-    /// Takes in what the store said, and asks it for what is due next.
+    /// Applies the result of the last poll and starts the next one if it is due.
     ///
-    /// The store may take long to answer; permits and leases are fed meanwhile.
-    pub(super) async fn consult_store(&mut self, session: &Session, now: Monotonic) {
-        if self
-            .errand
-            .as_ref()
-            .is_some_and(|errand| !errand.is_finished())
-        {
+    /// The poll runs in the background: the store may answer slowly, and drivers need updates of
+    /// permits and leases meanwhile.
+    pub(super) async fn poll_store(&mut self, session: &Session, now: Monotonic) {
+        if self.poll.as_ref().is_some_and(|poll| !poll.is_finished()) {
             return;
         }
-        if let Some(errand) = self.errand.take() {
-            let found = errand.await.unwrap_or_default();
-            self.take_in(found, session);
+        if let Some(poll) = self.poll.take() {
+            let result = poll.await.unwrap_or_default();
+            self.apply_poll(result, session);
         }
-        let inboxes: Vec<ShardId> = if self.looks >= self.inbox_due {
-            self.inbox_due = self.looks + INBOX_LOOKS;
+        let inboxes: Vec<ShardId> = if self.rounds >= self.inbox_due {
+            self.inbox_due = self.rounds + INBOX_ROUNDS;
             self.owned.keys().cloned().collect()
         } else {
             Vec::new()
         };
-        let vacant = self.wanted(now);
+        let vacant = self.shards_to_acquire(now);
         if inboxes.is_empty() && vacant.is_empty() {
             return;
         }
-        let errand = Errand {
+        let poll = StorePoll {
             store: self.store.clone(),
             session: session.clone(),
             name: self.name.clone(),
             inboxes,
             vacant,
         };
-        self.errand = Some(tokio::spawn(errand.run()));
+        self.poll = Some(tokio::spawn(poll.run()));
     }
 
-    pub(super) fn take_in(&mut self, found: Found, session: &Session) {
-        for (shard, records) in found.handed {
+    pub(super) fn apply_poll(&mut self, result: PollResult, session: &Session) {
+        for (shard, records) in result.inboxes {
             let Some(owned) = self.owned.get_mut(&shard) else {
                 continue;
             };
             for record in records {
-                if owned.handed.insert(record.id.clone()) {
-                    owned.sender.send(Message::Handed(Box::new(record))).ok();
+                if owned.adopted.insert(record.id.clone()) {
+                    owned
+                        .sender
+                        .send(Message::HandedOver(Box::new(record)))
+                        .ok();
                 }
             }
         }
-        for (shard, under, acquired) in found.acquired {
-            if under == session.id {
-                let owned = self.drive(&shard, session, acquired);
+        for (shard, session_id, acquired) in result.acquired {
+            if session_id == session.id {
+                let owned = self.start_driver(&shard, session, acquired);
                 self.owned.insert(shard, owned);
             }
         }
     }
 
-    /// Shards that nobody is known to own and that this process should take now.
-    pub(super) fn wanted(&mut self, now: Monotonic) -> Vec<ShardId> {
+    /// Shards without a known owner that this process should acquire now.
+    pub(super) fn shards_to_acquire(&mut self, now: Monotonic) -> Vec<ShardId> {
         let declared = self.current.load();
         let members = self.handle.members();
         let claimed: HashSet<&str> = members
@@ -73,14 +73,14 @@
             .collect();
         let mut wanted = Vec::new();
         for shard in declared.shards() {
-            if self.shunned.get(&shard).is_some_and(|until| now < *until) {
+            if self.cooldowns.get(&shard).is_some_and(|until| now < *until) {
                 continue;
             }
             if self.owned.contains_key(&shard) || claimed.contains(shard.to_string().as_str()) {
-                self.vacant.remove(&shard);
+                self.vacant_since.remove(&shard);
                 continue;
             }
-            let since = *self.vacant.entry(shard.clone()).or_insert(now);
+            let since = *self.vacant_since.entry(shard.clone()).or_insert(now);
             match Choice::of(&shard, &self.name, &members, self.settings.peers.timeout_ms) {
                 Choice::Now => wanted.push(shard),
                 Choice::After(delay) if now.since(since) >= delay => wanted.push(shard),
--- a/crates/verbenahitch/src/scheduler/daemon/session.rs
+++ b/crates/verbenahitch/src/scheduler/daemon/session.rs
@@ -15,12 +15,12 @@
 pub(super) struct Session {
     /// Identity in the store.
     pub(super) id: String,
-    /// When the newest renewal that succeeded was sent.
+    /// When the last successful renewal was sent.
     pub(super) renewed: Monotonic,
 }
 
-/// Keeps one session alive and publishes it; `None` while there is none.
-pub(super) struct Keeper {
+/// Creates and renews the session and publishes it; `None` while there is none.
+pub(super) struct KeepAlive {
     pub(super) store: Store,
     pub(super) handle: Handle,
     pub(super) clock: Arc<dyn Clock>,
@@ -29,8 +29,8 @@
     pub(super) current: watch::Sender<Option<Session>>,
 }
 
-impl Keeper {
-    /// Runs until the receivers are gone or the task is aborted.
+impl KeepAlive {
+    /// Runs until all receivers are dropped or the task is aborted.
     pub(super) async fn run(self) {
         let pause = Duration::from_millis(self.lease_ms / 5);
         while !self.current.is_closed() {
--- a/crates/verbenahitch/src/scheduler/daemon/errand.rs
+++ b/crates/verbenahitch/src/scheduler/daemon/store_poll.rs
@@ -1,51 +1,51 @@
-//! One round of calls to the store for the shards of a process.
+//! One poll of the store: reads inboxes and tries to acquire vacant shards.
 
 use super::acquire::{self, Acquired};
 use super::session::Session;
 use crate::adapter::Store;
 use crate::domain::{JobRecord, ShardId};
 
-/// What to ask the store.
-pub(super) struct Errand {
+/// Calls to make in one poll.
+pub(super) struct StorePoll {
     pub(super) store: Store,
     pub(super) session: Session,
     pub(super) name: String,
     /// Owned shards whose inbox is due.
     pub(super) inboxes: Vec<ShardId>,
-    /// Shards to acquire.
+    /// Shards without an owner, to be acquired.
     pub(super) vacant: Vec<ShardId>,
 }
 
-/// What the store said.
+/// Result of a poll.
 #[derive(Debug, Default)]
-pub(super) struct Found {
-    /// Jobs that were handed over.
-    pub(super) handed: Vec<(ShardId, Vec<JobRecord>)>,
+pub(super) struct PollResult {
+    /// Jobs that were handed over, by inbox.
+    pub(super) inboxes: Vec<(ShardId, Vec<JobRecord>)>,
     /// Acquired shards, each with the session that locks it.
     pub(super) acquired: Vec<(ShardId, String, Acquired)>,
 }
 
-impl Errand {
-    /// Asks until the store gives no answer.
-    pub(super) async fn run(self) -> Found {
-        let mut found = Found::default();
+impl StorePoll {
+    /// Makes the calls; stops at the first that the store does not answer.
+    pub(super) async fn run(self) -> PollResult {
+        let mut result = PollResult::default();
         for shard in self.inboxes {
-            match acquire::handed(&self.store, &shard).await {
-                Ok(records) => found.handed.push((shard, records)),
-                Err(_) => return found,
+            match acquire::read_inbox(&self.store, &shard).await {
+                Ok(records) => result.inboxes.push((shard, records)),
+                Err(_) => return result,
             }
         }
         let session = self.session.id;
         for shard in self.vacant {
             match acquire::acquire(&self.store, &shard, &session, &self.name).await {
-                Ok(Some(acquired)) => found.acquired.push((shard, session.clone(), acquired)),
+                Ok(Some(acquired)) => result.acquired.push((shard, session.clone(), acquired)),
                 Ok(None) => {}
                 Err(error) => {
                     log::warn!("shard {shard} could not be acquired: {error}");
-                    return found;
+                    return result;
                 }
             }
         }
-        found
+        result
     }
 }
--- a/crates/verbenahitch/src/scheduler/message.rs
+++ b/crates/verbenahitch/src/scheduler/message.rs
@@ -10,14 +10,14 @@
 use crate::event::Entry;
 use crate::port::{HostRecord, SyncError, SyncReply, SyncRequest};
 
-/// What happens to a shard.
+/// Input of a shard's decision logic.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// Time has passed.
     Tick,
     /// A newer revision of the declarations is in force.
     Declared(Arc<Declarations>),
-    /// The platform's list of the shard's workers, whole.
+    /// Complete list of the shard's workers from the platform.
     Hosts(Vec<HostRecord>),
     /// This process now owns the shard.
     Acquired {
@@ -25,23 +25,23 @@
         epoch: u64,
         /// Records of all unfinished jobs of the shard.
         jobs: Vec<JobRecord>,
-        /// Whether the previous owner gave the shard up by itself; false if it may still act.
+        /// Whether the previous owner released the shard; if false, it may still be acting.
         released: bool,
     },
     /// This process no longer owns the shard.
     Lost,
-    /// This process is about to give the shard up: nothing more is started, and
-    /// marks of tasks that were not started are taken back.
+    /// This process is about to release the shard: it starts no more tasks and
+    /// removes the marks of tasks that were not started.
     Release,
-    /// Task leases may be renewed until then.
+    /// Time until which task leases may be renewed.
     Authority(Monotonic),
-    /// Tasks may be started until then.
+    /// Time until which tasks may be started.
     Permit(Monotonic),
-    /// A caller asks something; the answer is an [`Action::Answer`] with the same number.
+    /// A request; it is answered by an [`Action::Answer`] with the same number.
     Asked {
         /// Number of the request, unique in the process.
         request: u64,
-        /// What is asked.
+        /// Content of the request.
         body: Request,
         /// Wall-clock time in milliseconds since the Unix epoch.
         wall_ms: Millis,
@@ -66,7 +66,7 @@
         /// Why it failed.
         error: SyncError,
     },
-    /// A commit ended; the daemon has resolved lost answers by reading back.
+    /// A commit ended; if its answer was lost, the daemon has read the outcome from the store.
     Committed {
         /// Number of the batch.
         batch: u64,
@@ -78,13 +78,13 @@
 /// Why a batch did not take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommitError {
-    /// The store did not take it; the same writes may be tried again.
+    /// The store did not apply the batch; the same writes may be retried.
     Unavailable,
     /// This process no longer owns the shard.
     NotOwner,
 }
 
-/// What the daemon does for a shard.
+/// Action that the daemon executes for a shard.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Sends a sync to a worker.
@@ -107,16 +107,16 @@
     },
     /// Writes a log entry.
     Log(Entry),
-    /// Gives the shard up: another process owns it.
+    /// Stops acting for the shard, which another process owns.
     StandDown,
 }
 
-/// Writes that take effect together. At most one batch of a shard is under way.
+/// Writes that take effect atomically. A shard has at most one batch in flight.
 #[derive(Clone, Debug)]
 pub struct Batch {
-    /// Number of the batch, increasing in one epoch.
+    /// Number of the batch, increasing within an epoch.
     pub number: u64,
-    /// Writes, each about another job; they fit into one transaction of the store.
+    /// Writes, at most one per job; they fit into one transaction of the store.
     pub writes: Vec<Write>,
 }
 
@@ -132,11 +132,11 @@
         /// Shard that gets it.
         to: ShardId,
     },
-    /// Removes a finished job after its retention.
+    /// Removes a finished job after its retention time.
     Remove(JobId),
 }
 
-/// What callers and operators ask of a shard.
+/// Request of a caller or an operator to a shard.
 #[derive(Clone, Debug)]
 pub enum Request {
     /// Accept a job.
@@ -148,13 +148,13 @@
     },
     /// Cancel a job.
     Cancel(JobId),
-    /// Tell how a job stands.
+    /// Report the state of a job.
     Job(JobId),
-    /// Tell how the shard stands.
+    /// Report the state of the shard.
     Shard,
-    /// Tell why a task is where it is.
+    /// Explain the state and placement of a task.
     Explain(TaskId),
-    /// Take over a job that another shard has handed over; it is in the store already.
+    /// Adopt a job that another shard has handed over; the store already holds it.
     Adopt(Box<JobRecord>),
 }
 
@@ -164,17 +164,17 @@
 pub enum Answer {
     /// The job is in the store.
     Accepted(JobStatus),
-    /// How the job stands.
+    /// State of the job.
     Job(JobStatus),
-    /// How the shard stands.
+    /// State of the shard.
     Shard(ShardStatus),
-    /// Why a task is where it is, in words.
+    /// Explanation of a task's state and placement.
     Explained(String),
-    /// Nothing of it happened.
+    /// The request was refused.
     Refused(SubmitError),
 }
 
-/// Why a request was refused. Nothing of it happened unless said otherwise.
+/// Why a request was refused. It had no effect, except possibly with [`Self::Unclear`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Snafu)]
 #[serde(
     rename_all = "kebab-case",
@@ -182,16 +182,16 @@
     tag = "kind"
 )]
 pub enum SubmitError {
-    /// The declarations do not know the profile.
+    /// The profile is not declared.
     #[snafu(display("profile {profile:?} is not declared"))]
     UnknownProfile {
-        /// Name that was asked for.
+        /// Name of the profile.
         profile: String,
     },
-    /// No worker could ever run the task.
+    /// The job exceeds a limit, or no worker could ever run one of its tasks.
     #[snafu(display("the job can never run: {reason}"))]
     NeverFits {
-        /// What is too large, against what.
+        /// What is out of bounds, and the bound.
         reason: String,
     },
     /// The store does not hold the job.
@@ -206,15 +206,15 @@
         /// Identity.
         id: JobId,
     },
-    /// Nothing was accepted; try again later.
+    /// The request was not accepted and may be retried later.
     #[snafu(display("not accepted, try again in {retry_ms} ms: {reason}"))]
     Unavailable {
         /// Why.
         reason: String,
-        /// When to come back, in milliseconds.
+        /// Delay before the next attempt, in milliseconds.
         retry_ms: Millis,
     },
-    /// It is not known whether the request took effect; repeating it is safe.
+    /// The request may or may not have taken effect; repeating it is safe.
     #[snafu(display("outcome not known, repeat the request: {reason}"))]
     Unclear {
         /// Why.
@@ -222,7 +222,7 @@
     },
 }
 
-/// How a job stands.
+/// State of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct JobStatus {
@@ -232,21 +232,21 @@
     pub shard: String,
     /// Number of tasks.
     pub tasks: u32,
-    /// Tasks that run now.
+    /// Running tasks.
     pub running: u32,
-    /// Tasks that ran to their end.
+    /// Completed tasks.
     pub done: u32,
-    /// Tasks that failed for good.
+    /// Failed tasks that are not retried.
     pub failed: u32,
     /// Tasks that were cancelled.
     pub cancelled: u32,
-    /// Tasks that may or may not have run to their end.
+    /// Tasks that may or may not have completed.
     pub unknown: u32,
-    /// Evictions so far, as far as this owner knows.
+    /// Evictions that this owner knows of.
     pub evictions: u32,
 }
 
-/// How a shard stands.
+/// State of a shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ShardStatus {
@@ -258,38 +258,39 @@
     pub epoch: u64,
     /// Whether tasks may be started now.
     pub permitted: bool,
-    /// Tasks that wait for a worker.
+    /// Unfinished tasks that are not running.
     pub queued: u32,
-    /// Tasks that run.
+    /// Running tasks.
     pub running: u32,
     /// Workers.
     pub workers: Vec<WorkerStatus>,
-    /// Whose work presses on whose, the strongest first.
+    /// Interference between profiles, the strongest first.
     pub pressures: Vec<PressureStatus>,
 }
 
-/// How strongly one profile presses on another.
+/// Interference of one profile with another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct PressureStatus {
     /// Profile that is slowed.
     pub victim: String,
-    /// Profile that slows it.
+    /// Profile that causes the slowdown.
     pub source: String,
-    /// Estimated time of the victim beside one task of the source, in percent of its time alone.
+    /// Estimated run time of the victim next to one task of the source, in percent of its run
+    /// time alone.
     pub slowdown_percent: u32,
 }
 
-/// How a worker stands.
+/// State of a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct WorkerStatus {
     /// Name.
     pub name: String,
-    /// State in words.
+    /// State as text.
     pub state: String,
-    /// Tasks that run on it.
+    /// Running tasks.
     pub running: u32,
-    /// Share of its processors that is committed, in percent.
+    /// Committed share of its processors, in percent.
     pub committed_percent: u32,
 }
--- a/crates/verbenahitch/src/scheduler/mod.rs
+++ b/crates/verbenahitch/src/scheduler/mod.rs
@@ -1,7 +1,7 @@
 //! The scheduler: owns shards, places their tasks and keeps their state.
 //!
 //! [`Shard`] is the decision logic of one shard. It does no I/O: the daemon
-//! feeds it [`Input`]s and carries out its [`Action`]s.
+//! passes [`Input`]s to it and executes the [`Action`]s that it returns.
 
 mod daemon;
 mod message;
--- a/crates/verbenahitch/src/scheduler/shard/commit.rs
+++ b/crates/verbenahitch/src/scheduler/shard/commit.rs
@@ -1,4 +1,4 @@
-//! Group commit: at most one batch under way, several jobs a batch, all changes
+//! Group commit: at most one batch in flight, several jobs per batch, all changes
 //! of a job in one write.
 
 use std::collections::VecDeque;
@@ -13,19 +13,19 @@
 use crate::event::{Entry, Kind};
 use crate::scheduler::{Action, Answer, Batch, CommitError, Write};
 
-/// The store takes 64 operations in a transaction; two hold the lock and number the batch.
-const MAX_OPS: usize = 62;
-/// The store's transactions are at most 512 KiB.
+/// The store allows 64 operations in a transaction; two check the lock and update the batch key.
+const MAX_BATCH_OPS: usize = 62;
+/// The store limits a transaction to 512 KiB.
 const MAX_BATCH_BYTES: usize = 360 << 10;
-const FIRST_BACKOFF_MS: Millis = 100;
-const LAST_BACKOFF_MS: Millis = 5_000;
+const MIN_BACKOFF_MS: Millis = 100;
+const MAX_BACKOFF_MS: Millis = 5_000;
 
 /// State of the group commit.
 #[derive(Debug)]
 pub(super) struct Committer {
     urgent: VecDeque<JobKey>,
     other: VecDeque<JobKey>,
-    under_way: Option<(Batch, Vec<JobKey>)>,
+    inflight: Option<(Batch, Vec<JobKey>)>,
     next_batch: u64,
     last_sent: Option<Monotonic>,
     retry_at: Option<Monotonic>,
@@ -39,7 +39,7 @@
         Self {
             urgent: VecDeque::new(),
             other: VecDeque::new(),
-            under_way: None,
+            inflight: None,
             next_batch: 0,
             last_sent: None,
             retry_at: None,
@@ -48,18 +48,18 @@
         }
     }
 
-    /// Forgets all that waits; numbers of batches go on rising.
+    /// Drops all pending writes; batch numbers continue to increase.
     pub fn reset(&mut self) {
         self.urgent.clear();
         self.other.clear();
-        self.under_way = None;
+        self.inflight = None;
         self.retry_at = None;
         self.backoff_ms = 0;
     }
 
-    /// When the next commit is due, if any.
+    /// When the next commit or retry is due, if any.
     pub fn due(&self, interval_ms: Millis) -> Option<Monotonic> {
-        if self.under_way.is_some() {
+        if self.inflight.is_some() {
             return self.retry_at;
         }
         let waits = !self.urgent.is_empty() || !self.other.is_empty();
@@ -69,26 +69,26 @@
         })
     }
 
-    /// Whether nothing waits and nothing is under way.
-    pub fn is_quiet(&self) -> bool {
-        self.under_way.is_none() && self.urgent.is_empty() && self.other.is_empty()
+    /// Whether no write is queued and no batch is in flight.
+    pub fn is_idle(&self) -> bool {
+        self.inflight.is_none() && self.urgent.is_empty() && self.other.is_empty()
     }
 
-    /// Whether the store refused or missed the last attempt.
+    /// Whether the last attempt failed.
     pub fn is_failing(&self) -> bool {
         self.backoff_ms > 0
     }
 
     fn back_off(&mut self, now: Monotonic) {
-        self.backoff_ms = (self.backoff_ms * 2).clamp(FIRST_BACKOFF_MS, LAST_BACKOFF_MS);
+        self.backoff_ms = (self.backoff_ms * 2).clamp(MIN_BACKOFF_MS, MAX_BACKOFF_MS);
         let jitter = self.rng.random_range(0..=self.backoff_ms / 4);
         self.retry_at = Some(now + self.backoff_ms + jitter);
     }
 }
 
 impl Shard {
-    /// Notes that a job's record has changed; urgent changes go first.
-    pub(super) fn touch(&mut self, key: JobKey, urgent: bool) {
+    /// Queues a job's changed record for the next batch; urgent changes go first.
+    pub(super) fn queue_write(&mut self, key: JobKey, urgent: bool) {
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
@@ -101,10 +101,10 @@
     }
 
     pub(super) fn begin_commit(&mut self, now: Monotonic) {
-        if let Some((batch, _)) = &self.committer.under_way {
+        if let Some((batch, _)) = &self.committer.inflight {
             if self.committer.retry_at.is_some_and(|at| now >= at) {
                 self.committer.retry_at = None;
-                self.out.push(Action::Commit(batch.clone()));
+                self.actions.push(Action::Commit(batch.clone()));
             }
             return;
         }
@@ -120,14 +120,14 @@
         let number = self.committer.next_batch;
         let batch = Batch { number, writes };
         self.committer.last_sent = Some(now);
-        self.committer.under_way = Some((batch.clone(), keys));
-        self.out.push(Action::Commit(batch));
+        self.committer.inflight = Some((batch.clone(), keys));
+        self.actions.push(Action::Commit(batch));
     }
 
     fn collect_writes(&mut self) -> (Vec<JobKey>, Vec<Write>) {
         let (mut keys, mut writes) = (Vec::new(), Vec::new());
         let (mut ops, mut bytes) = (0, 0);
-        while ops + MOST_OPS <= MAX_OPS && bytes < MAX_BATCH_BYTES {
+        while ops + MAX_WRITE_OPS <= MAX_BATCH_OPS && bytes < MAX_BATCH_BYTES {
             let next = self.committer.urgent.pop_front();
             let Some(key) = next.or_else(|| self.committer.other.pop_front()) else {
                 break;
@@ -137,7 +137,7 @@
             };
             job.dirty = false;
             job.inflight = Some(std::mem::take(&mut job.pending));
-            ops += operations(&job.stage);
+            ops += op_count(&job.stage);
             bytes += estimated_bytes(&job.record);
             keys.push(key);
             writes.push(match &job.stage {
@@ -161,7 +161,7 @@
         let current = |(batch, _): &mut (Batch, Vec<JobKey>)| batch.number == number;
         match result {
             Ok(()) => {
-                let Some((_, keys)) = self.committer.under_way.take_if(current) else {
+                let Some((_, keys)) = self.committer.inflight.take_if(current) else {
                     return;
                 };
                 if self.committer.is_failing() {
@@ -174,7 +174,7 @@
                 }
             }
             Err(CommitError::Unavailable) => {
-                if self.committer.under_way.as_mut().is_some_and(current) {
+                if self.committer.inflight.as_mut().is_some_and(current) {
                     if !self.committer.is_failing() {
                         self.log(Entry::new(Kind::StoreDown).with("shard", &self.name));
                     }
@@ -182,7 +182,7 @@
                 }
             }
             Err(CommitError::NotOwner) => {
-                if self.committer.under_way.as_mut().is_some_and(current) {
+                if self.committer.inflight.as_mut().is_some_and(current) {
                     self.stand_down("the store says that another process owns the shard", now);
                 }
             }
@@ -207,22 +207,22 @@
                 job.stage = Stage::Stored;
                 let entry = Entry::new(Kind::JobAccepted)
                     .with("job", &job.record.id)
-                    .with("profile", &*job.name)
+                    .with("profile", &*job.profile_name)
                     .with("tasks", job.record.spec.tasks);
                 self.log(entry);
             }
             Stage::Stored => {}
         }
-        self.apply(key, effects, now);
+        self.apply_effects(key, effects, now);
         self.close_finished(key, now);
     }
 
-    fn apply(&mut self, key: JobKey, effects: Effects, now: Monotonic) {
+    fn apply_effects(&mut self, key: JobKey, effects: Effects, now: Monotonic) {
         for index in effects.marks {
             let task = TaskKey { job: key, index };
             if self.phase(task) == Some(Phase::Marking) {
                 self.set_phase(task, Some(Phase::Ready));
-                self.stir(now);
+                self.schedule_pass(now);
             }
         }
         self.acknowledge(effects.acks);
@@ -241,7 +241,7 @@
             .into_iter()
             .map(|request| (request, Answer::Job(status.clone())));
         for (request, body) in accepted.chain(answered) {
-            self.out.push(Action::Answer { request, body });
+            self.actions.push(Action::Answer { request, body });
         }
     }
 
@@ -284,22 +284,26 @@
                 continue;
             }
             job.stage = Stage::Removing;
-            self.touch(key, false);
+            self.queue_write(key, false);
         }
     }
 
-    /// Forgets a job that the store no longer holds for this shard.
+    /// Removes a job that the store no longer holds for this shard.
     fn forget_job(&mut self, key: JobKey, effects: Effects) {
         let Some(job) = self.jobs.remove(key) else {
             return;
         };
-        self.lanes.file(&job.name, job.order, key, false, false);
-        self.lanes.lane(&job.name).ahead -= job.ready.len();
+        self.queues
+            .set_membership(&job.profile_name, job.order, key, false, false);
+        self.queues.queue(&job.profile_name).ahead -= job.ready.len();
         self.by_id.remove(&job.record.id);
-        for gone in [effects, job.pending] {
-            self.acknowledge(gone.acks);
-            for request in gone.accepts.into_iter().chain(gone.answers) {
-                self.refuse(request, unavailable("the job has left the shard"));
+        for remaining in [effects, job.pending] {
+            self.acknowledge(remaining.acks);
+            for request in remaining.accepts.into_iter().chain(remaining.answers) {
+                self.refuse(
+                    request,
+                    unavailable("the job was moved to another shard or removed"),
+                );
             }
         }
     }
@@ -309,19 +313,19 @@
     }
 }
 
-/// Most operations of one write.
-const MOST_OPS: usize = 3;
+/// Largest number of operations of one write.
+const MAX_WRITE_OPS: usize = 3;
 
-/// Operations that a write takes in the store's transaction.
-fn operations(stage: &Stage) -> usize {
+/// Number of operations that a write needs in the store's transaction.
+fn op_count(stage: &Stage) -> usize {
     match stage {
         Stage::Stored => 1,
-        // The record, and the inbox if it was handed over.
+        // The record, and the inbox entry if the job was handed over.
         Stage::New => 2,
-        // The record and the name.
+        // The record and the name key.
         Stage::Removing => 2,
-        // The record, the name and the other shard's inbox.
-        Stage::Moving(_) => MOST_OPS,
+        // The record, the name key and the other shard's inbox entry.
+        Stage::Moving(_) => MAX_WRITE_OPS,
     }
 }
 
@@ -329,7 +333,7 @@
     const FIXED_BYTES: usize = 512;
     const CHECKPOINT_BYTES: usize = 48;
     let tasks = usize::try_from(record.spec.tasks).unwrap_or(usize::MAX);
-    // Each task is a bit in base64 in at most two of the sets.
+    // Each task takes one bit, in base64, in at most two of the task sets.
     FIXED_BYTES
         + record.spec.payload.len()
         + tasks / 2
--- a/crates/verbenahitch/src/scheduler/shard/ends.rs
+++ b/crates/verbenahitch/src/scheduler/shard/ends.rs
@@ -1,4 +1,4 @@
-//! Ends of runs, as workers report them or as lapsed leases imply them.
+//! Ends of runs, reported by workers or implied by lapsed leases.
 
 use super::Shard;
 use super::job::Phase;
@@ -6,38 +6,38 @@
 use crate::event::{Entry, Kind};
 use crate::port::EndKind;
 
-/// Most failed runs of an idempotent task.
+/// Number of failed runs after which an idempotent task has failed.
 const MAX_FAILURES: u32 = 5;
-const FIRST_RETRY_MS: Millis = 1_000;
-const LAST_RETRY_MS: Millis = 60_000;
-/// A job that failed on as many workers without a success is to blame itself.
+const MIN_RETRY_MS: Millis = 1_000;
+const MAX_RETRY_MS: Millis = 60_000;
+/// A job that failed on this many workers without a success is taken for the cause of its failures.
 const SUSPECT_WORKERS: usize = 2;
 
-/// What follows from the end of a run.
-enum Verdict {
+/// What happens to a task after the end of a run.
+enum Disposition {
     Final(TaskOutcome),
-    /// Starts again from a time on.
-    Again(Monotonic),
+    /// Starts again, at this time at the earliest.
+    Retry(Monotonic),
 }
 
 impl Shard {
-    /// Takes in the end of a run that this owner knows.
-    pub(super) fn finish(
+    /// Handles the end of a run that this owner started or adopted.
+    pub(super) fn on_known_end(
         &mut self,
         run: u64,
         kind: EndKind,
         checkpoint_ms: Millis,
         now: Monotonic,
     ) {
-        let Some(gone) = self.remove_run(run) else {
+        let Some(removed) = self.remove_run(run) else {
             return;
         };
-        self.set_phase(gone.task, None);
-        let progress_ms = checkpoint_ms.max(gone.checkpoint_ms);
-        self.conclude(gone.task, gone.worker, run, kind, progress_ms, now);
+        self.set_phase(removed.task, None);
+        let progress_ms = checkpoint_ms.max(removed.checkpoint_ms);
+        self.end_run(removed.task, removed.worker, run, kind, progress_ms, now);
     }
 
-    pub(super) fn conclude(
+    pub(super) fn end_run(
         &mut self,
         task: TaskKey,
         worker: WorkerKey,
@@ -46,8 +46,8 @@
         progress_ms: Millis,
         now: Monotonic,
     ) {
-        let verdict = self.judge(task, worker, kind, now);
-        self.note_health(task, worker, kind, now);
+        let disposition = self.disposition(task, worker, kind, now);
+        self.update_health(task, worker, kind, now);
         let host = self.workers[worker].host.name.clone();
         let entry = Entry::new(Kind::TaskEnded)
             .with_text("task", self.jobs[task.job].task_id(task.index))
@@ -56,45 +56,45 @@
             .with("kind", kind)
             .with("checkpoint-ms", progress_ms);
         self.log(entry);
-        match verdict {
-            Verdict::Final(outcome) => self.end_task(task, outcome),
-            Verdict::Again(from) => self.note_requeue(task, run, progress_ms, from),
+        match disposition {
+            Disposition::Final(outcome) => self.end_task(task, outcome),
+            Disposition::Retry(from) => self.begin_requeue(task, run, progress_ms, from),
         }
-        self.note_ack(task, worker, run);
-        self.stir(now);
+        self.ack_when_durable(task, worker, run);
+        self.schedule_pass(now);
     }
 
-    /// Has a run acknowledged once the record's changes are durable.
-    pub(super) fn note_ack(&mut self, task: TaskKey, worker: WorkerKey, run: u64) {
+    /// Acknowledges the end of a run to its worker once the record's changes are durable.
+    pub(super) fn ack_when_durable(&mut self, task: TaskKey, worker: WorkerKey, run: u64) {
         self.workers[worker].ending.insert(run);
         self.jobs[task.job].pending.acks.push((worker, run));
-        self.touch(task.job, false);
+        self.queue_write(task.job, false);
     }
 
-    fn judge(
+    fn disposition(
         &mut self,
         task: TaskKey,
         worker: WorkerKey,
         kind: EndKind,
         now: Monotonic,
-    ) -> Verdict {
+    ) -> Disposition {
         let job = &mut self.jobs[task.job];
         let idempotent = job.is_idempotent();
         match kind {
-            EndKind::Done => Verdict::Final(TaskOutcome::Done),
-            _ if job.record.cancelled => Verdict::Final(TaskOutcome::Cancelled),
-            EndKind::Evicted | EndKind::Lapsed => Verdict::Again(now),
-            EndKind::Stopped if idempotent => Verdict::Again(now),
-            EndKind::Stopped => Verdict::Final(TaskOutcome::Unknown),
+            EndKind::Done => Disposition::Final(TaskOutcome::Done),
+            _ if job.record.cancelled => Disposition::Final(TaskOutcome::Cancelled),
+            EndKind::Evicted | EndKind::Lapsed => Disposition::Retry(now),
+            EndKind::Stopped if idempotent => Disposition::Retry(now),
+            EndKind::Stopped => Disposition::Final(TaskOutcome::Unknown),
             EndKind::Failed => {
                 let attempts = job.attempts.entry(task.index).or_default();
                 attempts.failures += 1;
                 attempts.avoid = Some(worker);
                 if !idempotent || attempts.failures >= MAX_FAILURES {
-                    return Verdict::Final(TaskOutcome::Failed);
+                    return Disposition::Final(TaskOutcome::Failed);
                 }
-                let doubled = FIRST_RETRY_MS << (attempts.failures - 1);
-                Verdict::Again(now + doubled.min(LAST_RETRY_MS))
+                let doubled = MIN_RETRY_MS << (attempts.failures - 1);
+                Disposition::Retry(now + doubled.min(MAX_RETRY_MS))
             }
         }
     }
@@ -109,29 +109,29 @@
             job.end(task.index, outcome);
         }
         self.making_room.remove(&task);
-        self.touch(task.job, false);
-        self.file(task.job);
+        self.queue_write(task.job, false);
+        self.update_queue(task.job);
     }
 
-    /// Takes a task's mark away; it starts again once that is durable.
-    fn note_requeue(&mut self, task: TaskKey, run: u64, progress_ms: Millis, from: Monotonic) {
+    /// Removes a task's mark; it is requeued once that is durable.
+    fn begin_requeue(&mut self, task: TaskKey, run: u64, progress_ms: Millis, from: Monotonic) {
         let job = &mut self.jobs[task.job];
-        let noted = job.record.checkpoints.entry(task.index).or_default();
-        *noted = Checkpoint {
-            run: noted.run.max(run),
-            progress_ms: noted.progress_ms.max(progress_ms),
+        let recorded = job.record.checkpoints.entry(task.index).or_default();
+        *recorded = Checkpoint {
+            run: recorded.run.max(run),
+            progress_ms: recorded.progress_ms.max(progress_ms),
         };
         job.record.marked.remove(task.index);
         job.pending.requeues.push((task.index, from));
         let entry = Entry::new(Kind::TaskRequeued)
             .with_text("task", job.task_id(task.index))
-            .with("checkpoint-ms", noted_progress(job, task.index));
+            .with("checkpoint-ms", recorded_progress(job, task.index));
         self.set_phase(task, Some(Phase::Requeueing(run)));
-        self.touch(task.job, true);
+        self.queue_write(task.job, true);
         self.log(entry);
     }
 
-    /// Lets a task start again, now that the end of its last run is durable.
+    /// Requeues a task, now that the end of its last run is durable.
     pub(super) fn requeue(&mut self, task: TaskKey, from: Monotonic, now: Monotonic) {
         if !matches!(self.phase(task), Some(Phase::Requeueing(_))) {
             return;
@@ -145,79 +145,80 @@
             self.delayed.insert((from, task));
             return;
         }
-        self.jobs[task.job].again.insert(task.index);
+        self.jobs[task.job].requeued.insert(task.index);
         self.set_phase(task, None);
-        self.stir(now);
+        self.schedule_pass(now);
     }
 
     pub(super) fn wake_delayed(&mut self, now: Monotonic) {
         while let Some((at, task)) = self.delayed.first().copied().filter(|(at, _)| *at <= now) {
             self.delayed.remove(&(at, task));
             if self.phase(task) == Some(Phase::Delayed) {
-                self.jobs[task.job].again.insert(task.index);
+                self.jobs[task.job].requeued.insert(task.index);
                 self.set_phase(task, None);
-                self.stir(now);
+                self.schedule_pass(now);
             }
         }
     }
 
-    /// Takes in that a worker no longer reports a run.
+    /// Handles a run that is missing from its worker's report.
     pub(super) fn on_missing(&mut self, run: u64, seq: u64, restarted: bool, now: Monotonic) {
         let found = &self.runs[&run];
-        match found.sent {
+        match found.start_seq {
             None => {}
-            // Its start was in an earlier sync, which the worker refuses from now on.
-            Some(sent) if sent < seq && !found.seen && !restarted => self.withdraw(run, now),
-            Some(_) => self.lose(run, now),
+            // The start was in an earlier sync, which the worker would now refuse: it can no longer
+            // take effect.
+            Some(start) if start < seq && !found.seen && !restarted => self.withdraw(run, now),
+            Some(_) => self.lose_run(run, now),
         }
     }
 
-    /// Takes in that a run is over and nobody tells how it ended.
-    pub(super) fn lose(&mut self, run: u64, now: Monotonic) {
-        let Some(gone) = self.remove_run(run) else {
+    /// Handles a run that is over and whose outcome no worker reported.
+    pub(super) fn lose_run(&mut self, run: u64, now: Monotonic) {
+        let Some(removed) = self.remove_run(run) else {
             return;
         };
-        self.set_phase(gone.task, None);
-        self.stir(now);
-        let job = &self.jobs[gone.task.job];
+        self.set_phase(removed.task, None);
+        self.schedule_pass(now);
+        let job = &self.jobs[removed.task.job];
         if !job.is_idempotent() {
-            self.end_task(gone.task, TaskOutcome::Unknown);
+            self.end_task(removed.task, TaskOutcome::Unknown);
         } else if job.record.cancelled {
-            self.end_task(gone.task, TaskOutcome::Cancelled);
+            self.end_task(removed.task, TaskOutcome::Cancelled);
         } else {
-            self.note_requeue(gone.task, run, gone.checkpoint_ms, now);
+            self.begin_requeue(removed.task, run, removed.checkpoint_ms, now);
         }
     }
 
-    /// Gives up the runs of a silent worker once all their leases have lapsed.
-    pub(super) fn lapse_silent(&mut self, key: WorkerKey, now: Monotonic) {
+    /// Ends the runs of a worker that does not answer, once all their leases have lapsed.
+    pub(super) fn lose_lapsed_runs(&mut self, key: WorkerKey, now: Monotonic) {
         let worker = &self.workers[key];
-        if now < worker.lapse + self.params.lease_margin_ms() {
+        if now < worker.lapses_at + self.params.lease_margin_ms() {
             return;
         }
         let runs: Vec<u64> = worker.runs.iter().copied().collect();
         for run in runs {
-            match self.runs[&run].sent {
-                Some(_) => self.lose(run, now),
+            match self.runs[&run].start_seq {
+                Some(_) => self.lose_run(run, now),
                 None => self.withdraw(run, now),
             }
         }
     }
 
-    fn note_health(&mut self, task: TaskKey, worker: WorkerKey, kind: EndKind, now: Monotonic) {
+    fn update_health(&mut self, task: TaskKey, worker: WorkerKey, kind: EndKind, now: Monotonic) {
         let job = &mut self.jobs[task.job];
         let host = &mut self.workers[worker];
         let changed = match kind {
             EndKind::Done => {
                 job.succeeded = true;
-                host.health.note_success().then_some(Kind::WorkerRestored)
+                host.health.record_success().then_some(Kind::WorkerRestored)
             }
             EndKind::Failed => {
                 job.failed_on.insert(worker);
-                // A job that fails everywhere says nothing of the worker.
+                // A job that fails on every worker says nothing about this one.
                 let suspect = !job.succeeded && job.failed_on.len() >= SUSPECT_WORKERS;
-                let condemned = !suspect && host.health.note_failure(task.job, now);
-                condemned.then_some(Kind::WorkerQuarantined)
+                let quarantined = !suspect && host.health.record_failure(task.job, now);
+                quarantined.then_some(Kind::WorkerQuarantined)
             }
             EndKind::Evicted | EndKind::Stopped | EndKind::Lapsed => None,
         };
@@ -225,11 +226,11 @@
             let entry = Entry::new(kind).with("worker", &host.host.name);
             self.log(entry);
         }
-        self.refresh(worker, now);
+        self.refresh_worker(worker, now);
     }
 }
 
-fn noted_progress(job: &super::Job, index: u32) -> Millis {
+fn recorded_progress(job: &super::Job, index: u32) -> Millis {
     job.record
         .checkpoints
         .get(&index)
--- a/crates/verbenahitch/src/scheduler/shard/evictions.rs
+++ b/crates/verbenahitch/src/scheduler/shard/evictions.rs
@@ -1,5 +1,5 @@
-//! Evictions and throttling: for urgent tasks, against interference, and off
-//! workers that leave.
+//! Evictions and throttling: to make room for urgent tasks, to reduce
+//! interference, and to drain leaving workers and zones out of service.
 
 use super::Shard;
 use crate::collections::HashSet;
@@ -9,11 +9,11 @@
 use crate::placement::Ask;
 use crate::port::{Command, HostState};
 
-/// Time between two looks at interference.
+/// Time between two checks for interference.
 const RELIEF_MS: Millis = 500;
 
 impl Shard {
-    /// Evicts tasks of a worker for the one that asks; says whether room is being made.
+    /// Evicts tasks of a worker to make room for another; returns whether any eviction has begun.
     pub(super) fn make_room(
         &mut self,
         ask: &Ask,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Carries out what the placer wants done against interference.
+    /// Throttles and evicts tasks as the placer decides, to reduce interference.
     pub(super) fn relieve(&mut self, now: Monotonic) {
         if now < self.relief_due {
             return;
@@ -80,14 +80,15 @@
         self.log(entry);
     }
 
-    /// Evicts a run with a checkpoint; `counted` evictions keep within the profile's budget.
+    /// Evicts a run, which writes a checkpoint first; `counted` evictions are limited by the
+    /// profile's hourly budget.
     ///
-    /// Says whether the run was told to stop.
+    /// Returns whether the eviction was queued for the worker.
     pub(super) fn evict(&mut self, run: u64, counted: bool, reason: &str, now: Monotonic) -> bool {
         let Some(found) = self.runs.get(&run) else {
             return false;
         };
-        if found.sent.is_none() {
+        if found.start_seq.is_none() {
             self.withdraw(run, now);
             return false;
         }
@@ -98,11 +99,11 @@
         };
         let attempts = job.attempts.entry(task.index).or_default();
         let budget = usize::try_from(profile.eviction.hourly_budget).unwrap_or(usize::MAX);
-        let spent = counted && attempts.recent_evictions(now) >= budget;
-        if found.evicting || spent || !profile.eviction.allowed {
+        let over_budget = counted && attempts.recent_evictions(now) >= budget;
+        if found.evicting || over_budget || !profile.eviction.allowed {
             return false;
         }
-        attempts.note_eviction(now);
+        attempts.record_eviction(now);
         job.evictions += 1;
         let entry = Entry::new(Kind::Evicted)
             .with_text("task", job.task_id(task.index))
@@ -120,7 +121,7 @@
         true
     }
 
-    /// Evicts a run whose zone is out, or which is batch work on a leaving worker.
+    /// Evicts a run if its zone is out of service, or if it is batch work on a leaving worker.
     pub(super) fn evict_if_leaving(&mut self, run: u64, now: Monotonic) {
         let Some(found) = self.runs.get(&run).filter(|found| !found.evicting) else {
             return;
--- a/crates/verbenahitch/src/scheduler/shard/job.rs
+++ b/crates/verbenahitch/src/scheduler/shard/job.rs
@@ -9,34 +9,35 @@
 };
 use crate::scheduler::JobStatus;
 
-/// Place of a job in its lane: the lowest first.
+/// Place of a job in its queue, the lowest first.
 pub(super) type Order = (Millis, u64);
 
 const EVICTION_WINDOW_MS: Millis = 3_600_000;
 
-/// State of a task that is neither untouched nor ended.
+/// State of a task that is neither [untouched](Job::is_untouched) nor ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
     /// Marked in a commit that is not yet durable.
     Marking,
     /// Marked durably and not running.
     Ready,
-    /// Given to a worker.
+    /// Assigned to a worker, with the number of the run.
     Running(u64),
-    /// A run has ended and the task will start again; the commit is not yet durable.
+    /// The run with this number has ended and the task will be started again; the commit is not
+    /// yet durable.
     Requeueing(u64),
-    /// Waits for the time of its next attempt; not marked.
+    /// Not marked; waits for the time of its next attempt.
     Delayed,
-    /// Marked by an earlier owner, not yet reported by any worker.
+    /// Marked by an earlier owner and not yet reported by any worker.
     Unclear,
 }
 
-/// What is remembered of a task's attempts.
+/// History of a task's attempts.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Attempts {
     /// Failed runs.
     pub failures: u32,
-    /// Worker that failed it last.
+    /// Worker on which it last failed.
     pub avoid: Option<WorkerKey>,
     evictions: Vec<Monotonic>,
 }
@@ -48,61 +49,61 @@
         self.evictions.iter().filter(recent).count()
     }
 
-    /// Notes an eviction.
-    pub fn note_eviction(&mut self, now: Monotonic) {
+    /// Records an eviction.
+    pub fn record_eviction(&mut self, now: Monotonic) {
         self.evictions
             .retain(|at| now.since(*at) < EVICTION_WINDOW_MS);
         self.evictions.push(now);
     }
 }
 
-/// What follows once a commit of the job is durable.
+/// Effects to apply once a commit of the job is durable.
 #[derive(Debug, Default)]
 pub(super) struct Effects {
     /// Tasks that may be started.
     pub marks: Vec<u32>,
-    /// Runs that their workers may forget.
+    /// Ended runs to acknowledge to their workers.
     pub acks: Vec<(WorkerKey, u64)>,
-    /// Tasks to start again from a time on.
+    /// Tasks to start again, each with the earliest time.
     pub requeues: Vec<(u32, Monotonic)>,
-    /// Requests answered by the acceptance of the job.
+    /// Requests to answer with the acceptance of the job.
     pub accepts: Vec<u64>,
-    /// Requests answered by the state of the job.
+    /// Requests to answer with the state of the job.
     pub answers: Vec<u64>,
 }
 
-/// Whether the store holds a job.
+/// Storage state of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// Not yet.
+    /// Not yet in the store.
     New,
-    /// Yes.
+    /// In the store.
     Stored,
-    /// Yes, and it is being handed over.
+    /// In the store; being handed over to the given shard.
     Moving(ShardId),
-    /// Yes, and it is being removed.
+    /// In the store; being removed.
     Removing,
 }
 
-/// A job with all that its owner knows of it.
+/// A job and the state that its owner keeps about it.
 #[derive(Debug)]
 pub(super) struct Job {
     /// Record, with changes that are not yet durable.
     pub record: JobRecord,
-    /// Whether the store holds it.
+    /// Storage state.
     pub stage: Stage,
     /// Name of its profile.
-    pub name: Arc<str>,
-    /// Its profile, unless it was never declared.
+    pub profile_name: Arc<str>,
+    /// Its profile; `None` if it was never declared.
     pub profile: Option<Arc<Profile>>,
-    /// Place in its lane.
+    /// Place in its queue.
     pub order: Order,
-    /// When this owner learned of it.
+    /// When this owner first saw it.
     pub since: Monotonic,
-    /// States of the tasks that are neither untouched nor ended.
+    /// States of the tasks that are neither untouched nor ended, by index.
     pub phases: HashMap<u32, Phase>,
-    /// Unmarked tasks that ran before and may be marked again.
-    pub again: BTreeSet<u32>,
+    /// Unmarked tasks that were marked before and may be marked again.
+    pub requeued: BTreeSet<u32>,
     /// Tasks in [`Phase::Ready`].
     pub ready: BTreeSet<u32>,
     /// Attempts of tasks that failed or were evicted.
@@ -111,33 +112,34 @@
     pub running: u32,
     /// Evictions so far.
     pub evictions: u32,
-    /// Workers that failed one of its tasks.
+    /// Workers on which one of its tasks failed.
     pub failed_on: HashSet<WorkerKey>,
-    /// Whether one of its tasks ran to its end.
+    /// Whether one of its tasks has completed.
     pub succeeded: bool,
-    /// Whether the record has changes that no batch holds.
+    /// Whether the record has changes that are in no batch yet.
     pub dirty: bool,
-    /// What follows from the next commit.
+    /// Effects of the next commit.
     pub pending: Effects,
-    /// What follows from the commit under way.
+    /// Effects of the commit in flight.
     pub inflight: Option<Effects>,
-    /// Whether its end was logged.
+    /// Whether its end was logged and its removal scheduled.
     pub closed: bool,
-    untouched: u32,
+    /// Lower bound of the first untouched task.
+    first_untouched: u32,
 }
 
 impl Job {
-    /// Creates a job that waits, whole, for its turn.
+    /// Creates a job whose tasks are all waiting.
     pub fn new(record: JobRecord, stage: Stage, seq: u64, now: Monotonic) -> Self {
         Self {
-            name: Arc::from(record.spec.profile.as_str()),
+            profile_name: Arc::from(record.spec.profile.as_str()),
             order: (record.accepted_ms, seq),
             record,
             stage,
             profile: None,
             since: now,
             phases: HashMap::default(),
-            again: BTreeSet::new(),
+            requeued: BTreeSet::new(),
             ready: BTreeSet::new(),
             attempts: HashMap::default(),
             running: 0,
@@ -148,11 +150,12 @@
             pending: Effects::default(),
             inflight: None,
             closed: false,
-            untouched: 0,
+            first_untouched: 0,
         }
     }
 
-    /// Takes over a profile; more worth and an earlier deadline come first.
+    /// Sets the profile and derives the place in the queue: a higher worth and an earlier deadline
+    /// come first.
     pub fn set_profile(&mut self, profile: Arc<Profile>) {
         let slack = profile.deadline_ms.saturating_sub(self.record.spec.run_ms);
         let weighted = slack.saturating_mul(100) / (100 + u64::from(profile.worth));
@@ -170,19 +173,19 @@
 
     /// Next task that could be marked.
     pub fn next_unmarked(&mut self) -> Option<u32> {
-        if let Some(index) = self.again.first() {
+        if let Some(index) = self.requeued.first() {
             return Some(*index);
         }
-        while self.untouched < self.record.spec.tasks {
-            if self.is_untouched(self.untouched) {
-                return Some(self.untouched);
+        while self.first_untouched < self.record.spec.tasks {
+            if self.is_untouched(self.first_untouched) {
+                return Some(self.first_untouched);
             }
-            self.untouched += 1;
+            self.first_untouched += 1;
         }
         None
     }
 
-    /// Whether a task has neither ended nor ever been marked.
+    /// Whether a task is not marked, has no trace of an earlier run and has not ended.
     pub fn is_untouched(&self, index: u32) -> bool {
         !self.phases.contains_key(&index)
             && !self.record.marked.contains(index)
@@ -190,29 +193,29 @@
             && self.record.ended.get(index).is_none()
     }
 
-    /// Notes the outcome of a task that is in no phase.
+    /// Records the outcome of a task that is in no phase.
     pub fn end(&mut self, index: u32, outcome: TaskOutcome) {
-        self.again.remove(&index);
+        self.requeued.remove(&index);
         self.attempts.remove(&index);
         self.record.marked.remove(index);
         self.record.checkpoints.remove(&index);
         self.record.ended.insert(index, outcome);
     }
 
-    /// Whether none of its tasks may be running anywhere and nothing waits for a commit.
+    /// Whether no task can be running on any worker and no commit is pending.
     pub fn is_idle(&self) -> bool {
         let idle = |phase: &Phase| matches!(phase, Phase::Ready | Phase::Delayed);
         !self.dirty && self.inflight.is_none() && self.phases.values().all(idle)
     }
 
-    /// Whether an end of any task may take effect without harm if it happens twice.
+    /// Whether its tasks may run more than once without harm; false while its profile is not known.
     pub fn is_idempotent(&self) -> bool {
         self.profile
             .as_ref()
             .is_some_and(|profile| profile.idempotent)
     }
 
-    /// How the job stands.
+    /// State of the job.
     pub fn status(&self, shard: &str) -> JobStatus {
         let ended = &self.record.ended;
         JobStatus {
--- a/crates/verbenahitch/src/scheduler/shard/mod.rs
+++ b/crates/verbenahitch/src/scheduler/shard/mod.rs
@@ -1,30 +1,31 @@
 //! Decision logic of one shard.
 //!
-//! [`Shard::step`] takes one [`Input`] and returns the [`Action`]s that follow
-//! from it. Every right to act (ownership, authority, permit) is checked against
-//! the time of the step that decides, so that a process that was paused does not
-//! act on what held before the pause.
+//! [`Shard::step`] eligible one [`Input`] and returns the [`Action`]s that follow
+//! from it. Each step checks every right to act (ownership, authority, permit)
+//! against its own time, so that a process that was paused does not act on rights
+//! that have expired during the pause.
 //!
-//! * `requests`: what callers and operators ask.
-//! * `commit`: group commit of jobs' records.
-//! * `starts`: marks tasks and gives them to workers.
-//! * `syncs`: messages to workers and their answers.
-//! * `found`: runs that workers report.
-//! * `ends`: what follows from the end of a run, or from a lapsed lease.
+//! * `requests`: requests of callers and operators.
+//! * `commit`: group commit of job records.
+//! * `profile_queue`: queues of jobs, one per profile.
+//! * `starts`: marks tasks and assigns them to workers.
+//! * `syncs`: calls to workers and their answers.
+//! * `run_reports`: runs that workers report.
+//! * `ends`: ends of runs and lapsed leases.
 //! * `evictions`: evictions and throttling.
-//! * `recovery`: what a new owner learns before it starts a marked task.
-//! * `zone`: declarations, the list of workers, zones taken out and returning.
+//! * `recovery`: takeover of a shard, and the checks before a marked task is started.
+//! * `zone`: declarations, the list of workers, zones going out of and into service.
 
 mod commit;
 mod ends;
 mod evictions;
-mod found;
 mod job;
-mod lane;
 mod params;
 mod pressures;
+mod profile_queue;
 mod recovery;
 mod requests;
+mod run_reports;
 mod starts;
 mod status;
 mod syncs;
@@ -44,8 +45,8 @@
 use crate::placement::Placer;
 use commit::Committer;
 use job::{Job, Phase};
-use lane::Lanes;
-use pressures::Reported;
+use pressures::ReportedPressures;
+use profile_queue::ProfileQueues;
 use worker::Worker;
 
 pub use params::Params;
@@ -60,17 +61,18 @@
     settled: bool,
 }
 
-/// A run that was given to a worker or found on it.
+/// A run that was assigned to a worker or that the worker reported.
 #[derive(Debug)]
 struct Run {
     task: TaskKey,
     worker: WorkerKey,
-    /// Sync that carried the start; `None` while it waits for one.
-    sent: Option<u64>,
-    /// Whether the worker reported it.
+    /// Number of the sync that carried the start; `None` while it waits for one, 0 if this owner
+    /// did not start it.
+    start_seq: Option<u64>,
+    /// Whether the worker has reported it.
     seen: bool,
-    /// Whether the placer knows what it holds.
-    held: bool,
+    /// Whether the placer accounts for its resources.
+    accounted: bool,
     evicting: bool,
     checkpoint_ms: Millis,
     reason: String,
@@ -89,7 +91,7 @@
     permitted: bool,
     jobs: SlotMap<JobKey, Job>,
     by_id: HashMap<JobId, JobKey>,
-    lanes: Lanes,
+    queues: ProfileQueues,
     runs: HashMap<u64, Run>,
     workers: SecondaryMap<WorkerKey, Worker>,
     by_name: HashMap<String, WorkerKey>,
@@ -97,24 +99,25 @@
     delayed: BTreeSet<(Monotonic, TaskKey)>,
     removals: BTreeSet<(Monotonic, JobKey)>,
     unclear: BTreeSet<TaskKey>,
-    /// Runs evicted to make room, by the task that waits for it.
+    /// Runs that are evicted to make room, by the task that waits for the room.
     making_room: HashMap<TaskKey, HashSet<u64>>,
     committer: Committer,
     next_seq: u64,
     next_job: u64,
-    listed: bool,
+    /// Whether the platform's list of workers was received.
+    has_hosts: bool,
     releasing: bool,
-    returning: Option<Monotonic>,
-    /// When a pass over the lanes is due even if nothing has changed.
+    returning_since: Option<Monotonic>,
+    /// When the next pass over the queues is due.
     pass_due: Monotonic,
-    /// When it is due to look for tasks to mark that are not idempotent.
+    /// When the next check for tasks to mark that are not idempotent is due.
     marks_due: Monotonic,
     moves_due: Monotonic,
     relief_due: Monotonic,
-    reported: Reported,
-    /// Time of the newest step.
-    stepped: Monotonic,
-    out: Vec<Action>,
+    last_pressures: ReportedPressures,
+    /// Time of the last step.
+    last_step: Monotonic,
+    actions: Vec<Action>,
 }
 
 impl Shard {
@@ -132,7 +135,7 @@
             permitted: false,
             jobs: SlotMap::default(),
             by_id: HashMap::default(),
-            lanes: Lanes::default(),
+            queues: ProfileQueues::default(),
             runs: HashMap::default(),
             workers: SecondaryMap::default(),
             by_name: HashMap::default(),
@@ -143,22 +146,22 @@
             making_room: HashMap::default(),
             next_seq: 0,
             next_job: 0,
-            listed: false,
+            has_hosts: false,
             releasing: false,
-            returning: None,
+            returning_since: None,
             pass_due: Monotonic::default(),
             marks_due: Monotonic::default(),
             moves_due: Monotonic::default(),
             relief_due: Monotonic::default(),
-            reported: Reported::default(),
-            stepped: Monotonic::default(),
-            out: Vec::new(),
+            last_pressures: ReportedPressures::default(),
+            last_step: Monotonic::default(),
+            actions: Vec::new(),
         }
     }
 
-    /// Takes one input and says what to do.
+    /// Processes one input and returns the actions that follow from it.
     pub fn step(&mut self, input: Input, now: Monotonic) -> Vec<Action> {
-        self.stepped = now;
+        self.last_step = now;
         match input {
             Input::Tick => {}
             Input::Declared(declared) => self.on_declared(declared, now),
@@ -191,10 +194,10 @@
         if self.owned.is_some() {
             self.advance(now);
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
-    /// When a [`Input::Tick`] is wanted at the latest.
+    /// Latest time for the next [`Input::Tick`].
     pub fn next_wake(&self, now: Monotonic) -> Monotonic {
         if self.owned.is_none() {
             return now + self.params.sync_ms;
@@ -202,7 +205,7 @@
         let timer = self.timers.first().map(|(at, _)| *at);
         let delayed = self.delayed.first().map(|(at, _)| *at);
         let removal = self.removals.first().map(|(at, _)| *at);
-        let pass = self.lanes.has_ready().then_some(self.pass_due);
+        let pass = self.queues.has_ready().then_some(self.pass_due);
         let moves = (!self.in_service()).then_some(self.moves_due);
         let relief = (!self.runs.is_empty()).then_some(self.relief_due);
         let commit = self.committer.due(self.params.commit_ms);
@@ -213,18 +216,18 @@
             .max(now)
     }
 
-    /// Whether every lease of earlier owners has ended or is known to this one.
+    /// Whether every lease of earlier owners has ended or is known to this owner.
     ///
-    /// Only an owner that is settled may say that it released the shard, for the
-    /// next owner then counts on this one's leases alone.
+    /// Only a settled owner may mark the shard as released in the store, because
+    /// the next owner then waits for the leases of this owner only.
     pub fn is_settled(&self) -> bool {
         self.owned.is_some_and(|owned| owned.settled)
     }
 
-    /// Whether all that [`Input::Release`] asks for is durable.
+    /// Whether the shard can be released: all changes are durable and all runs were reported.
     pub fn is_released(&self) -> bool {
         let unanswered = |run: &Run| !run.seen;
-        self.releasing && self.committer.is_quiet() && !self.runs.values().any(unanswered)
+        self.releasing && self.committer.is_idle() && !self.runs.values().any(unanswered)
     }
 
     fn advance(&mut self, now: Monotonic) {
@@ -254,16 +257,16 @@
             Kind::PermitLapsed
         };
         self.log(Entry::new(kind).with("shard", &self.name));
-        self.stir(now);
+        self.schedule_pass(now);
     }
 
-    /// Has the lanes looked at again: something has changed.
-    fn stir(&mut self, now: Monotonic) {
+    /// Makes the next pass over the queues due at once, because something has changed.
+    fn schedule_pass(&mut self, now: Monotonic) {
         self.pass_due = now;
         self.marks_due = now;
     }
 
-    /// Whether a task may be started at this instant.
+    /// Whether tasks may be started at `now`.
     fn may_start(&self, now: Monotonic) -> bool {
         self.owned.is_some()
             && !self.releasing
@@ -273,10 +276,10 @@
     }
 
     fn log(&mut self, entry: Entry) {
-        self.out.push(Action::Log(entry));
+        self.actions.push(Action::Log(entry));
     }
 
-    /// Changes the state of a task and all that is counted by state.
+    /// Changes the state of a task and updates the sets and counters that depend on it.
     fn set_phase(&mut self, task: TaskKey, phase: Option<Phase>) {
         let Some(job) = self.jobs.get_mut(task.job) else {
             return;
@@ -285,11 +288,11 @@
             Some(phase) => job.phases.insert(task.index, phase),
             None => job.phases.remove(&task.index),
         };
-        let lane = self.lanes.lane(&job.name);
+        let queue = self.queues.queue(&job.profile_name);
         match before {
-            Some(Phase::Marking) => lane.ahead -= 1,
+            Some(Phase::Marking) => queue.ahead -= 1,
             Some(Phase::Ready) => {
-                lane.ahead -= 1;
+                queue.ahead -= 1;
                 job.ready.remove(&task.index);
             }
             Some(Phase::Running(_)) => job.running -= 1,
@@ -299,9 +302,9 @@
             Some(Phase::Requeueing(_) | Phase::Delayed) | None => {}
         }
         match phase {
-            Some(Phase::Marking) => lane.ahead += 1,
+            Some(Phase::Marking) => queue.ahead += 1,
             Some(Phase::Ready) => {
-                lane.ahead += 1;
+                queue.ahead += 1;
                 job.ready.insert(task.index);
             }
             Some(Phase::Running(_)) => job.running += 1,
@@ -310,34 +313,36 @@
             }
             Some(Phase::Requeueing(_) | Phase::Delayed) | None => {}
         }
-        self.file(task.job);
+        self.update_queue(task.job);
     }
 
-    /// Files a job in its lane by what it has waiting.
-    fn file(&mut self, key: JobKey) {
+    /// Updates the entries of a job in its queue.
+    fn update_queue(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
-        let takes = job.profile.is_some() && !job.record.cancelled;
-        let unmarked = takes && job.next_unmarked().is_some();
-        let ready = takes && !job.ready.is_empty();
-        self.lanes.file(&job.name, job.order, key, unmarked, ready);
+        let eligible = job.profile.is_some() && !job.record.cancelled;
+        let unmarked = eligible && job.next_unmarked().is_some();
+        let ready = eligible && !job.ready.is_empty();
+        self.queues
+            .set_membership(&job.profile_name, job.order, key, unmarked, ready);
     }
 
-    /// Gives a job its profile, which decides its lane's urgency and its place there.
-    fn profile_job(&mut self, key: JobKey) {
+    /// Sets the profile of a job, if declared, with its place in the queue and the queue's urgency.
+    fn assign_profile(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
-        let Some(profile) = self.declared.profiles.get(&*job.name) else {
+        let Some(profile) = self.declared.profiles.get(&*job.profile_name) else {
             return;
         };
         if job.profile.as_deref() == Some(profile) {
             return;
         }
-        self.lanes.file(&job.name, job.order, key, false, false);
-        self.lanes.lane(&job.name).urgent = profile.urgent;
+        self.queues
+            .set_membership(&job.profile_name, job.order, key, false, false);
+        self.queues.queue(&job.profile_name).urgent = profile.urgent;
         job.set_profile(Arc::new(profile.clone()));
-        self.file(key);
+        self.update_queue(key);
     }
 }
--- a/crates/verbenahitch/src/scheduler/shard/params.rs
+++ b/crates/verbenahitch/src/scheduler/shard/params.rs
@@ -10,7 +10,7 @@
     pub shard: ShardId,
     /// Name of this process.
     pub owner: String,
-    /// Time between two syncs with a worker that has nothing new, in milliseconds.
+    /// Time between two syncs with a worker for which nothing is queued, in milliseconds.
     pub sync_ms: Millis,
     /// Time limit of a sync, in milliseconds.
     pub sync_timeout_ms: Millis,
@@ -20,11 +20,11 @@
     pub outage_ms: Millis,
     /// Least time between two commits, in milliseconds.
     pub commit_ms: Millis,
-    /// Tasks of a profile that are marked ahead of their turn.
+    /// Number of tasks of a profile that are marked ahead of their start.
     pub mark_ahead: usize,
-    /// Time for which a finished job can be asked about, in milliseconds.
+    /// Time for which a finished job is kept for queries, in milliseconds.
     pub retention_ms: Millis,
-    /// Seed of the choices among equals.
+    /// Seed for random tie-breaking and jitter.
     pub seed: u64,
 }
 
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Time after which a worker refuses a call that was decided on now.
-    pub(super) fn call_bound_ms(&self) -> Millis {
+    /// Time for which a worker accepts a call, from the decision on it.
+    pub(super) fn call_ttl_ms(&self) -> Millis {
         self.task_lease_ms / 4
     }
 
@@ -55,7 +55,7 @@
         self.task_lease_ms / 5
     }
 
-    /// Time for which the list of workers may lack one that a previous owner used.
+    /// Time for which the list of workers may lack a worker that a previous owner used.
     pub(super) fn list_lag_ms(&self) -> Millis {
         self.task_lease_ms / 5
     }
--- a/crates/verbenahitch/src/scheduler/shard/pressures.rs
+++ b/crates/verbenahitch/src/scheduler/shard/pressures.rs
@@ -1,4 +1,4 @@
-//! Whose work pressed on whose, for the log and for operators.
+//! Estimated interference between profiles, for the log and for operators.
 
 use super::Shard;
 use crate::collections::HashMap;
@@ -7,18 +7,18 @@
 use crate::interference::Attribution;
 use crate::scheduler::PressureStatus;
 
-/// Time between two looks at the estimates, in milliseconds.
+/// Time between two reports of the estimates, in milliseconds.
 const REPORT_MS: Millis = 5_000;
 
-/// Least slowdown that is reported, in percent of the time alone.
-const LEAST_PERCENT: u32 = 102;
+/// Smallest slowdown that is reported, in percent of the run time alone.
+const MIN_SLOWDOWN_PERCENT: u32 = 102;
 
-/// Change of an estimate that is reported anew, in percent of the time alone.
-const CHANGE_PERCENT: u32 = 5;
+/// Smallest change of an estimate that is reported again, in percent of the run time alone.
+const MIN_CHANGE_PERCENT: u32 = 5;
 
 /// Estimates as they were last reported.
 #[derive(Debug, Default)]
-pub(super) struct Reported {
+pub(super) struct ReportedPressures {
     due: Monotonic,
     percent: HashMap<(String, String), u32>,
 }
@@ -26,17 +26,22 @@
 impl Shard {
     /// Logs estimates that are new or have changed.
     pub(super) fn report_pressures(&mut self, now: Monotonic) {
-        if self.owned.is_none() || now < self.reported.due {
+        if self.owned.is_none() || now < self.last_pressures.due {
             return;
         }
-        self.reported.due = now + REPORT_MS;
+        self.last_pressures.due = now + REPORT_MS;
         for pressure in self.pressures() {
             let pair = (pressure.victim.clone(), pressure.source.clone());
-            let before = self.reported.percent.get(&pair).copied().unwrap_or(100);
-            if pressure.slowdown_percent.abs_diff(before) < CHANGE_PERCENT {
+            let before = self
+                .last_pressures
+                .percent
+                .get(&pair)
+                .copied()
+                .unwrap_or(100);
+            if pressure.slowdown_percent.abs_diff(before) < MIN_CHANGE_PERCENT {
                 continue;
             }
-            self.reported
+            self.last_pressures
                 .percent
                 .insert(pair, pressure.slowdown_percent);
             let entry = Entry::new(Kind::Pressure)
@@ -48,10 +53,10 @@
         }
     }
 
-    /// Whose work presses on whose, the strongest first.
+    /// Interference between profiles, the strongest first.
     pub(super) fn pressures(&self) -> Vec<PressureStatus> {
         let all = self.placer.pressures().into_iter().map(status);
-        all.filter(|pressure| pressure.slowdown_percent >= LEAST_PERCENT)
+        all.filter(|pressure| pressure.slowdown_percent >= MIN_SLOWDOWN_PERCENT)
             .collect()
     }
 }
--- a/crates/verbenahitch/src/scheduler/shard/recovery.rs
+++ b/crates/verbenahitch/src/scheduler/shard/recovery.rs
@@ -1,6 +1,6 @@
-//! What a new owner learns before it starts a task that may be running.
+//! Takeover of a shard, and the checks before a task is started that may be running.
 //!
-//! Tasks without a mark start at once. A marked task waits until a worker
+//! Tasks without a mark may start at once. A marked task waits until a worker
 //! reports it, or until every worker has answered under this epoch or its leases
 //! have provably lapsed; the shard is *settled* then.
 
@@ -41,12 +41,12 @@
         }
     }
 
-    /// Sorts the tasks of a record that this owner has not seen before.
+    /// Derives the states of a job's tasks from its record.
     pub(super) fn restore(&mut self, key: JobKey) {
         let job = &mut self.jobs[key];
         let ended = &job.record.ended;
         let marked: Vec<u32> = job.record.marked.iter().collect();
-        job.again = job
+        job.requeued = job
             .record
             .checkpoints
             .keys()
@@ -59,7 +59,7 @@
                 self.set_phase(task, Some(Phase::Unclear));
             }
         }
-        self.file(key);
+        self.update_queue(key);
     }
 
     fn restore_finished(&mut self, key: JobKey, now: Monotonic) {
@@ -79,7 +79,7 @@
         self.forget(now);
     }
 
-    /// Gives the shard up because another process owns it.
+    /// Stops acting for the shard, because another process owns it.
     pub(super) fn stand_down(&mut self, reason: &str, now: Monotonic) {
         let entry = Entry::new(Kind::ShardLost)
             .with("shard", &self.name)
@@ -87,7 +87,7 @@
         self.log(entry);
         self.answer_open_requests();
         self.forget(now);
-        self.out.push(Action::StandDown);
+        self.actions.push(Action::StandDown);
     }
 
     fn answer_open_requests(&mut self) {
@@ -96,52 +96,52 @@
             body: Answer::Refused(error),
         };
         for job in self.jobs.values_mut() {
-            // What no batch held cannot have taken effect.
+            // A job that was in no batch cannot have been accepted.
             for request in job.pending.accepts.drain(..) {
                 let error = unavailable("this process lost the shard");
-                self.out.push(refuse(request, error));
+                self.actions.push(refuse(request, error));
             }
             let inflight = job.inflight.take().unwrap_or_default();
             let unclear = inflight.accepts.into_iter().chain(inflight.answers);
             for request in unclear.chain(job.pending.answers.drain(..)) {
                 let reason = "this process lost the shard".to_owned();
-                self.out
+                self.actions
                     .push(refuse(request, SubmitError::Unclear { reason }));
             }
         }
     }
 
-    /// Forgets all that holds for one ownership only.
+    /// Resets the state that is valid for one ownership only.
     fn forget(&mut self, now: Monotonic) {
         self.owned = None;
         self.releasing = false;
         self.jobs.clear();
         self.by_id.clear();
-        self.lanes.clear();
+        self.queues.clear();
         self.delayed.clear();
         self.removals.clear();
         self.unclear.clear();
         self.making_room.clear();
         self.committer.reset();
-        for gone in std::mem::take(&mut self.runs).into_values() {
-            self.placer.vacate(gone.worker, gone.task);
+        for removed in std::mem::take(&mut self.runs).into_values() {
+            self.placer.vacate(removed.worker, removed.task);
         }
         self.timers.clear();
         for (key, worker) in &mut self.workers {
             worker.reset(now);
             self.timers.insert((now, key));
-            self.placer.set_state(key, worker.shown);
+            self.placer.set_state(key, worker.placer_state);
         }
-        self.stir(now);
+        self.schedule_pass(now);
     }
 
-    /// Resolves what nobody has reported, once nobody can report it any more.
+    /// Settles the shard if it can be, then resolves the tasks that no worker has reported.
     pub(super) fn settle(&mut self, now: Monotonic) {
         let Some(owned) = self.owned else {
             return;
         };
         if !owned.settled {
-            if !self.is_accounted(owned, now) {
+            if !self.can_settle(owned, now) {
                 return;
             }
             self.owned = Some(Ownership {
@@ -158,8 +158,8 @@
         }
     }
 
-    /// Whether every worker has answered, or every lease of an earlier owner has lapsed.
-    fn is_accounted(&self, owned: Ownership, now: Monotonic) -> bool {
+    /// Whether every worker has answered, or all leases of earlier owners have lapsed.
+    fn can_settle(&self, owned: Ownership, now: Monotonic) -> bool {
         let outage_ms = if owned.released {
             0
         } else {
@@ -167,13 +167,13 @@
         };
         let lapsed = owned.since
             + outage_ms
-            + self.params.call_bound_ms()
+            + self.params.call_ttl_ms()
             + self.params.task_lease_ms
             + self.params.lease_margin_ms();
         if now >= lapsed {
             return true;
         }
-        self.listed
+        self.has_hosts
             && now >= owned.since + self.params.list_lag_ms()
             && self.workers.values().all(|worker| worker.answered)
     }
@@ -192,7 +192,7 @@
             } else {
                 self.set_phase(task, Some(Phase::Ready));
             }
-            self.stir(now);
+            self.schedule_pass(now);
         }
     }
 
@@ -204,9 +204,9 @@
         self.unmark_ready();
     }
 
-    /// Takes the marks of all tasks back that were not started.
+    /// While releasing, removes the marks of all tasks that were not started.
     pub(super) fn unmark_ready(&mut self) {
-        if !self.releasing || !self.lanes.has_ready() {
+        if !self.releasing || !self.queues.has_ready() {
             return;
         }
         let ready: Vec<TaskKey> = self
@@ -217,16 +217,16 @@
             .collect();
         for task in ready {
             self.unmark(task);
-            self.touch(task.job, true);
+            self.queue_write(task.job, true);
         }
     }
 
-    /// Takes the mark of a task back that was not started.
+    /// Removes the mark of a task that was not started.
     pub(super) fn unmark(&mut self, task: TaskKey) {
         self.set_phase(task, None);
         let job = &mut self.jobs[task.job];
         job.record.marked.remove(task.index);
-        job.again.insert(task.index);
-        self.file(task.job);
+        job.requeued.insert(task.index);
+        self.update_queue(task.job);
     }
 }
--- a/crates/verbenahitch/src/scheduler/shard/requests.rs
+++ b/crates/verbenahitch/src/scheduler/shard/requests.rs
@@ -1,4 +1,4 @@
-//! What callers and operators ask of a shard.
+//! Requests of callers and operators.
 
 use std::sync::Arc;
 
@@ -12,13 +12,13 @@
 use crate::placement::{Ask, Choice};
 use crate::scheduler::{Action, Answer, Request, SubmitError};
 
-/// Most tasks of a job.
+/// Largest number of tasks of a job.
 const MAX_TASKS: u32 = 100_000;
 /// Longest declared run time: 30 days.
 const MAX_RUN_MS: Millis = 30 * 24 * 3_600_000;
 /// Longest payload.
 const MAX_PAYLOAD_BYTES: usize = 16 << 10;
-/// When a caller may come back after a refusal that will pass.
+/// Time after which a caller may retry a request that was refused for a temporary reason.
 const RETRY_MS: Millis = 1_000;
 
 impl Shard {
@@ -31,7 +31,7 @@
     ) {
         if let Request::Shard = body {
             let body = Answer::Shard(self.status());
-            return self.out.push(Action::Answer { request, body });
+            return self.actions.push(Action::Answer { request, body });
         }
         if self.owned.is_none() {
             return self.refuse(request, unavailable("this process does not own the shard"));
@@ -48,7 +48,7 @@
 
     pub(super) fn refuse(&mut self, request: u64, error: SubmitError) {
         let body = Answer::Refused(error);
-        self.out.push(Action::Answer { request, body });
+        self.actions.push(Action::Answer { request, body });
     }
 
     fn on_submit(
@@ -62,7 +62,7 @@
         if let Some(key) = self.by_id.get(&id).copied() {
             return self.on_repeat(request, key, &spec);
         }
-        if let Err(error) = self.check(&spec, now) {
+        if let Err(error) = self.validate(&spec, now) {
             let entry = Entry::new(Kind::JobRefused)
                 .with("job", &id)
                 .with_text("reason", &error);
@@ -72,7 +72,7 @@
         let record = JobRecord::new(id, spec, wall_ms);
         let key = self.add_job(record, Stage::New, now);
         self.jobs[key].pending.accepts.push(request);
-        self.touch(key, true);
+        self.queue_write(key, true);
     }
 
     fn on_repeat(&mut self, request: u64, key: JobKey, spec: &JobSpec) {
@@ -84,7 +84,7 @@
         self.accept(request, key);
     }
 
-    /// Answers that a job is accepted as soon as the store holds it.
+    /// Answers that a job is accepted, once the store holds it.
     fn accept(&mut self, request: u64, key: JobKey) {
         let job = &mut self.jobs[key];
         match (&job.stage, &mut job.inflight) {
@@ -92,12 +92,12 @@
             (Stage::New, None) => job.pending.accepts.push(request),
             _ => {
                 let body = Answer::Accepted(job.status(&self.name));
-                self.out.push(Action::Answer { request, body });
+                self.actions.push(Action::Answer { request, body });
             }
         }
     }
 
-    fn check(&self, spec: &JobSpec, now: Monotonic) -> Result<(), SubmitError> {
+    fn validate(&self, spec: &JobSpec, now: Monotonic) -> Result<(), SubmitError> {
         let Some(profile) = self.declared.profiles.get(&spec.profile) else {
             let profile = spec.profile.clone();
             return Err(SubmitError::UnknownProfile { profile });
@@ -105,7 +105,7 @@
         check_sizes(spec, profile)?;
         self.check_fit(spec, profile, now)?;
         if self.releasing {
-            return Err(unavailable("the owner of the shard is leaving"));
+            return Err(unavailable("the owner is releasing the shard"));
         }
         if self.committer.is_failing() {
             return Err(unavailable("the platform's store does not answer"));
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Adds a job to the arena and its tasks to the queues.
+    /// Adds a job and queues its tasks.
     pub(super) fn add_job(&mut self, record: JobRecord, stage: Stage, now: Monotonic) -> JobKey {
         let id = record.id.clone();
         self.next_job += 1;
@@ -143,8 +143,8 @@
             .jobs
             .insert(Job::new(record, stage, self.next_job, now));
         self.by_id.insert(id, key);
-        self.profile_job(key);
-        self.stir(now);
+        self.assign_profile(key);
+        self.schedule_pass(now);
         key
     }
 
@@ -159,7 +159,7 @@
         let key = self.add_job(record, Stage::New, now);
         self.restore(key);
         self.jobs[key].pending.accepts.push(request);
-        self.touch(key, true);
+        self.queue_write(key, true);
     }
 
     fn on_cancel(&mut self, request: u64, id: &JobId, now: Monotonic) {
@@ -178,11 +178,11 @@
         self.log(Entry::new(Kind::JobCancelled).with("job", id));
         self.cancel_waiting(key);
         self.cancel_running(key, now);
-        self.file(key);
-        self.touch(key, true);
+        self.update_queue(key);
+        self.queue_write(key, true);
     }
 
-    /// Answers with the state of a job once all changes made so far are durable.
+    /// Answers with the state of a job once all changes so far are durable.
     fn answer_job(&mut self, request: u64, key: JobKey) {
         let job = &mut self.jobs[key];
         if job.dirty {
@@ -192,10 +192,10 @@
             return inflight.answers.push(request);
         }
         let body = Answer::Job(job.status(&self.name));
-        self.out.push(Action::Answer { request, body });
+        self.actions.push(Action::Answer { request, body });
     }
 
-    /// Ends the tasks of a cancelled job that run nowhere.
+    /// Ends the tasks of a cancelled job that cannot be running on any worker.
     pub(super) fn cancel_waiting(&mut self, key: JobKey) {
         for index in 0..self.jobs[key].record.spec.tasks {
             let job = &mut self.jobs[key];
@@ -241,7 +241,7 @@
             return self.refuse(request, SubmitError::UnknownJob { id });
         };
         let body = Answer::Explained(self.explain(key, task.index));
-        self.out.push(Action::Answer { request, body });
+        self.actions.push(Action::Answer { request, body });
     }
 }
 
--- a/crates/verbenahitch/src/scheduler/shard/found.rs
+++ b/crates/verbenahitch/src/scheduler/shard/run_reports.rs
@@ -1,5 +1,5 @@
-//! What workers report: runs that go on and runs that have ended, also those that
-//! this owner did not start or has given up.
+//! Reports of workers about running and ended runs, including those that this
+//! owner did not start or has superseded.
 
 use std::sync::Arc;
 
@@ -21,16 +21,16 @@
             run.checkpoint_ms = run.checkpoint_ms.max(running.checkpoint_ms);
             let task = run.task;
             self.placer.set_share(key, task, running.share);
-            self.hold_found(key, running, now);
+            self.retry_occupy(key, running, now);
             return self.evict_if_leaving(running.run, now);
         }
         if let Some(task) = self.task_key(&running.task)
             && self.adopt_run(key, task, running, now)
         {
-            self.hold_found(key, running, now);
+            self.retry_occupy(key, running, now);
             return self.evict_if_leaving(running.run, now);
         }
-        self.stop_stray(key, &running.task, running.run, now);
+        self.stop_superseded(key, &running.task, running.run, now);
     }
 
     fn task_key(&self, id: &TaskId) -> Option<TaskKey> {
@@ -42,7 +42,7 @@
         })
     }
 
-    /// Takes over a run that a worker reports and this owner did not start.
+    /// Adopts a reported run that this owner did not start; returns whether it did.
     fn adopt_run(
         &mut self,
         key: WorkerKey,
@@ -51,8 +51,8 @@
         now: Monotonic,
     ) -> bool {
         let job = &self.jobs[task.job];
-        let kept = matches!(job.stage, Stage::New | Stage::Stored);
-        if !kept || job.record.ended.get(task.index).is_some() {
+        let active = matches!(job.stage, Stage::New | Stage::Stored);
+        if !active || job.record.ended.get(task.index).is_some() {
             return false;
         }
         if let Some(Phase::Running(other)) = job.phases.get(&task.index).copied()
@@ -61,11 +61,11 @@
             return false;
         }
         let job = &mut self.jobs[task.job];
-        job.again.remove(&task.index);
-        let fresh = job.record.marked.insert(task.index);
+        job.requeued.remove(&task.index);
+        let newly_marked = job.record.marked.insert(task.index);
         let profile = job.profile.clone();
         let cancelled = job.record.cancelled;
-        let held = self.occupy_found(key, task, running, profile, now);
+        let accounted = self.occupy_reported(key, task, running, profile, now);
         self.set_phase(task, Some(Phase::Running(running.run)));
         self.workers[key].runs.insert(running.run);
         self.runs.insert(
@@ -73,16 +73,16 @@
             Run {
                 task,
                 worker: key,
-                sent: Some(0),
+                start_seq: Some(0),
                 seen: true,
-                held,
+                accounted,
                 evicting: false,
                 checkpoint_ms: running.checkpoint_ms,
                 reason: "found on its worker".to_owned(),
             },
         );
-        if fresh {
-            self.touch(task.job, true);
+        if newly_marked {
+            self.queue_write(task.job, true);
         }
         if cancelled {
             self.stop(running.run, now);
@@ -90,23 +90,24 @@
         true
     }
 
-    /// Keeps a worker closed while it runs what the placer could not commit there.
-    fn hold_found(&mut self, key: WorkerKey, running: &Running, now: Monotonic) {
+    /// Retries to account for an adopted run; keeps its worker closed while the placer has no room
+    /// for it.
+    fn retry_occupy(&mut self, key: WorkerKey, running: &Running, now: Monotonic) {
         let found = &self.runs[&running.run];
-        if found.held {
+        if found.accounted {
             return;
         }
         let task = found.task;
         let profile = self.jobs[task.job].profile.clone();
-        if !self.occupy_found(key, task, running, profile, now) {
-            self.workers[key].strays.insert(running.run);
+        if !self.occupy_reported(key, task, running, profile, now) {
+            self.workers[key].blocking_runs.insert(running.run);
         } else if let Some(found) = self.runs.get_mut(&running.run) {
-            found.held = true;
+            found.accounted = true;
         }
     }
 
-    /// Commits what a found run holds, by its worker's word.
-    fn occupy_found(
+    /// Accounts for a reported run in the placer, with the resources that its worker reports.
+    fn occupy_reported(
         &mut self,
         worker: WorkerKey,
         task: TaskKey,
@@ -120,7 +121,7 @@
         let resident = Resident {
             task,
             run: running.run,
-            name: Arc::clone(&self.jobs[task.job].name),
+            name: Arc::clone(&self.jobs[task.job].profile_name),
             profile,
             resources: running.resources,
             since: now,
@@ -128,24 +129,24 @@
         self.placer.occupy(worker, resident).is_ok()
     }
 
-    /// Has a run that must not go on stopped, or takes its start back.
+    /// Stops a superseded run, or cancels its start if that was not sent yet.
     ///
-    /// Says whether the run no longer counts as the one of its task.
+    /// Returns whether there was such a run.
     fn withdraw_or_stop(&mut self, run: u64, now: Monotonic) -> bool {
-        let Some(gone) = self.remove_run(run) else {
+        let Some(removed) = self.remove_run(run) else {
             return false;
         };
-        if gone.sent.is_some() {
-            let id = self.jobs[gone.task.job].task_id(gone.task.index);
-            self.stop_stray(gone.worker, &id, run, now);
-            self.refresh(gone.worker, now);
+        if removed.start_seq.is_some() {
+            let id = self.jobs[removed.task.job].task_id(removed.task.index);
+            self.stop_superseded(removed.worker, &id, run, now);
+            self.refresh_worker(removed.worker, now);
         }
         true
     }
 
-    /// Stops a run that must not go on; its worker takes nothing until it has stopped.
-    fn stop_stray(&mut self, key: WorkerKey, task: &TaskId, run: u64, now: Monotonic) {
-        self.workers[key].strays.insert(run);
+    /// Stops a superseded run; its worker is given no tasks until the run has stopped.
+    fn stop_superseded(&mut self, key: WorkerKey, task: &TaskId, run: u64, now: Monotonic) {
+        self.workers[key].blocking_runs.insert(run);
         self.command(key, Command::Stop { run }, now);
         let entry = Entry::new(Kind::TaskEnded)
             .with_text("task", task)
@@ -161,7 +162,7 @@
             return;
         };
         let worker = found.worker;
-        if found.sent.is_none() {
+        if found.start_seq.is_none() {
             return self.withdraw(run, now);
         }
         self.command(worker, Command::Stop { run }, now);
@@ -176,7 +177,7 @@
             .get(&ended.run)
             .is_some_and(|run| run.worker == key);
         if known {
-            return self.finish(ended.run, ended.kind, ended.checkpoint_ms, now);
+            return self.on_known_end(ended.run, ended.kind, ended.checkpoint_ms, now);
         }
         match self.task_key(&ended.task) {
             Some(task) => self.on_unexpected_end(key, task, ended, now),
@@ -184,59 +185,60 @@
         }
     }
 
-    /// Takes in the end of a run that this owner did not start or has given up.
+    /// Handles the end of a run that this owner did not start or has superseded.
     fn on_unexpected_end(&mut self, key: WorkerKey, task: TaskKey, ended: &Ended, now: Monotonic) {
         let job = &self.jobs[task.job];
-        let noted = job.record.checkpoints.get(&task.index);
-        let stale = noted.is_some_and(|checkpoint| checkpoint.run >= ended.run);
+        let recorded = job.record.checkpoints.get(&task.index);
+        let stale = recorded.is_some_and(|checkpoint| checkpoint.run >= ended.run);
         let done = ended.kind == EndKind::Done;
         let outcome = job.record.ended.get(task.index);
         let phase = job.phases.get(&task.index).copied();
         match (outcome, phase) {
-            // The worker tells what was not known before.
+            // The report resolves an outcome that was unknown.
             (Some(TaskOutcome::Unknown), _) if done => {
                 self.jobs[task.job].end(task.index, TaskOutcome::Done);
-                self.note_ack(task, key, ended.run);
+                self.ack_when_durable(task, key, ended.run);
             }
-            (Some(_), _) => self.ack_noted(task, key, ended.run),
+            (Some(_), _) => self.ack_recorded(task, key, ended.run),
             (None, Some(Phase::Unclear)) if !stale => {
                 self.set_phase(task, None);
-                self.conclude(task, key, ended.run, ended.kind, ended.checkpoint_ms, now);
+                self.end_run(task, key, ended.run, ended.kind, ended.checkpoint_ms, now);
             }
             (None, _) if done => {
                 self.supersede(task, now);
-                self.conclude(task, key, ended.run, ended.kind, ended.checkpoint_ms, now);
+                self.end_run(task, key, ended.run, ended.kind, ended.checkpoint_ms, now);
             }
             (None, Some(Phase::Running(run))) => {
-                // Until its worker reports the newer run, this end may be needed.
+                // The newer run may never have started: keep the older report until its worker
+                // confirms the newer run.
                 if self.runs[&run].seen {
-                    self.ack_noted(task, key, ended.run);
+                    self.ack_recorded(task, key, ended.run);
                 }
             }
             (None, _) => {
-                if self.note_progress(task, ended) {
-                    self.note_ack(task, key, ended.run);
+                if self.record_progress(task, ended) {
+                    self.ack_when_durable(task, key, ended.run);
                 } else {
-                    self.ack_noted(task, key, ended.run);
+                    self.ack_recorded(task, key, ended.run);
                 }
             }
         }
     }
 
-    /// Has a run acknowledged of which the record tells already, though perhaps not durably.
-    fn ack_noted(&mut self, task: TaskKey, key: WorkerKey, run: u64) {
+    /// Acknowledges an end that the record already contains, once that is durable.
+    fn ack_recorded(&mut self, task: TaskKey, key: WorkerKey, run: u64) {
         let job = &self.jobs[task.job];
         if job.dirty || job.inflight.is_some() {
-            return self.note_ack(task, key, run);
+            return self.ack_when_durable(task, key, run);
         }
         self.workers[key].acks.push(run);
     }
 
-    /// Notes a newer checkpoint of a run that was given up; says whether it is newer.
-    fn note_progress(&mut self, task: TaskKey, ended: &Ended) -> bool {
+    /// Records the checkpoint of a superseded run if it is newer; returns whether it is.
+    fn record_progress(&mut self, task: TaskKey, ended: &Ended) -> bool {
         let checkpoints = &mut self.jobs[task.job].record.checkpoints;
-        let noted = checkpoints.get(&task.index).copied().unwrap_or_default();
-        if ended.run < noted.run || ended.checkpoint_ms <= noted.progress_ms {
+        let recorded = checkpoints.get(&task.index).copied().unwrap_or_default();
+        if ended.run < recorded.run || ended.checkpoint_ms <= recorded.progress_ms {
             return false;
         }
         let newer = Checkpoint {
@@ -245,13 +247,13 @@
         };
         checkpoints.insert(task.index, newer);
         if self.phase(task).is_none() {
-            self.jobs[task.job].again.insert(task.index);
-            self.file(task.job);
+            self.jobs[task.job].requeued.insert(task.index);
+            self.update_queue(task.job);
         }
         true
     }
 
-    /// Stops what a task does now, because an earlier run of it is done.
+    /// Stops the current run of a task, because an earlier run has completed the task.
     fn supersede(&mut self, task: TaskKey, now: Monotonic) {
         if let Some(Phase::Running(run)) = self.phase(task) {
             self.withdraw_or_stop(run, now);
--- a/crates/verbenahitch/src/scheduler/shard/starts.rs
+++ b/crates/verbenahitch/src/scheduler/shard/starts.rs
@@ -1,4 +1,4 @@
-//! Marks tasks as startable and gives them to workers.
+//! Marks tasks as startable and assigns them to workers.
 
 use std::sync::Arc;
 
@@ -9,27 +9,29 @@
 use crate::placement::{Ask, Choice, Reason, Resident};
 use crate::port::Command;
 
-/// Most tasks started in one step, so that a step stays short.
+/// Largest number of tasks tried in one step, so that a step stays short.
 const STARTS_PER_STEP: usize = 256;
-/// A task that is not idempotent may end unknown once marked, so few are marked early.
-const UNREPEATABLE_AHEAD: usize = 8;
-/// Time between two passes while nothing changes, for what changes with time alone.
+/// Largest number of tasks marked ahead for a profile that is not idempotent: once marked, such
+/// a task may end with an unknown outcome.
+const NON_IDEMPOTENT_AHEAD: usize = 8;
+/// Time between two passes over the queues while nothing changes, because some conditions depend
+/// on time alone.
 const PASS_MS: Millis = 250;
 
-/// Time after which a lane that waits for the same reason is logged again.
+/// Time after which the wait of a queue is logged again for the same reason.
 const WAITING_LOG_MS: Millis = 10_000;
 
-/// What became of an attempt to start a task.
-enum Attempt {
+/// Outcome of an attempt to start a task.
+enum StartOutcome {
     Started,
-    /// Room is being made for the task; the next may be luckier.
+    /// Room is being made for the task; the pass continues with the next task of the queue.
     Evicting,
-    /// The lane's first task waits.
+    /// The first task of the queue waits; the pass skips the rest of the queue.
     Blocked,
 }
 
 impl Shard {
-    /// Marks the first tasks of each lane, a bounded number ahead of their start.
+    /// Marks the first tasks of each queue, a limited number ahead of their start.
     pub(super) fn mark_ahead(&mut self, now: Monotonic) {
         if self.releasing || !self.in_service() {
             return;
@@ -38,10 +40,10 @@
         if due {
             self.marks_due = now + PASS_MS;
         }
-        for name in self.lanes.names() {
+        for name in self.queues.names() {
             let budget = self.mark_budget(&name, due, now);
-            while self.lanes.lane(&name).ahead < budget {
-                let Some((_, key)) = self.lanes.lane(&name).unmarked.first().copied() else {
+            while self.queues.queue(&name).ahead < budget {
+                let Some((_, key)) = self.queues.queue(&name).unmarked.first().copied() else {
                     break;
                 };
                 self.mark_next(key);
@@ -50,7 +52,7 @@
     }
 
     fn mark_budget(&mut self, name: &Arc<str>, due: bool, now: Monotonic) -> usize {
-        let Some((_, key)) = self.lanes.lane(name).unmarked.first().copied() else {
+        let Some((_, key)) = self.queues.queue(name).unmarked.first().copied() else {
             return 0;
         };
         let job = &mut self.jobs[key];
@@ -65,8 +67,8 @@
         }
         let task = TaskKey { job: key, index };
         match self.ask(task, now).map(|ask| self.placer.choose(&ask, now)) {
-            Some(Choice::Place { .. }) => self.params.mark_ahead.min(UNREPEATABLE_AHEAD),
-            // One task is marked, so that room is made for it in its turn.
+            Some(Choice::Place { .. }) => self.params.mark_ahead.min(NON_IDEMPOTENT_AHEAD),
+            // Mark one task, so that evictions can begin when its start is tried.
             Some(Choice::Evict { .. }) => 1,
             Some(Choice::Wait(_) | Choice::Never(_)) | None => 0,
         }
@@ -75,26 +77,26 @@
     fn mark_next(&mut self, key: JobKey) {
         let job = &mut self.jobs[key];
         let Some(index) = job.next_unmarked() else {
-            return self.file(key);
+            return self.update_queue(key);
         };
-        job.again.remove(&index);
+        job.requeued.remove(&index);
         job.record.marked.insert(index);
         job.pending.marks.push(index);
         self.set_phase(TaskKey { job: key, index }, Some(Phase::Marking));
-        self.touch(key, true);
+        self.queue_write(key, true);
     }
 
-    /// Starts tasks in the order of the lanes until none finds room.
+    /// Starts tasks in the order of the queues until none finds room.
     pub(super) fn start_ready(&mut self, now: Monotonic) {
         if now < self.pass_due || !self.may_start(now) {
             return;
         }
         self.pass_due = now + PASS_MS;
         let (mut blocked, mut parked) = (Vec::new(), Vec::new());
-        let mut all = false;
+        let mut exhausted = false;
         for _ in 0..STARTS_PER_STEP {
-            let Some((name, key)) = self.lanes.first_ready(&blocked) else {
-                all = true;
+            let Some((name, key)) = self.queues.first_ready(&blocked) else {
+                exhausted = true;
                 break;
             };
             let Some(index) = self.first_startable(key) else {
@@ -103,16 +105,16 @@
                 continue;
             };
             match self.try_start(TaskKey { job: key, index }, now) {
-                Attempt::Started => self.marks_due = now,
-                Attempt::Evicting => {}
-                Attempt::Blocked => blocked.push(name),
+                StartOutcome::Started => self.marks_due = now,
+                StartOutcome::Evicting => {}
+                StartOutcome::Blocked => blocked.push(name),
             }
         }
-        if !all {
+        if !exhausted {
             self.pass_due = now;
         }
         for key in parked {
-            self.file(key);
+            self.update_queue(key);
         }
     }
 
@@ -133,18 +135,18 @@
             .find(|index| !waits(index))
     }
 
-    /// Takes a job out of its lane for the rest of a pass.
+    /// Removes a job from its queue for the rest of a pass.
     fn park(&mut self, key: JobKey) {
         let job = &self.jobs[key];
-        let lane = self.lanes.lane(&job.name);
-        lane.ready.remove(&(job.order, key));
+        let queue = self.queues.queue(&job.profile_name);
+        queue.ready.remove(&(job.order, key));
     }
 
     fn ask(&self, task: TaskKey, now: Monotonic) -> Option<Ask> {
         let job = self.jobs.get(task.job)?;
         Some(Ask {
             task,
-            name: Arc::clone(&job.name),
+            name: Arc::clone(&job.profile_name),
             profile: Arc::clone(job.profile.as_ref()?),
             avoid: job
                 .attempts
@@ -154,9 +156,9 @@
         })
     }
 
-    fn try_start(&mut self, task: TaskKey, now: Monotonic) -> Attempt {
+    fn try_start(&mut self, task: TaskKey, now: Monotonic) -> StartOutcome {
         let Some(ask) = self.ask(task, now) else {
-            return Attempt::Blocked;
+            return StartOutcome::Blocked;
         };
         match self.placer.choose(&ask, now) {
             Choice::Place {
@@ -165,33 +167,33 @@
                 reason,
             } => self.launch(task, &ask, worker, runner_up, reason, now),
             Choice::Evict { worker, victims } => {
-                self.note_waiting(task, &ask.name, "waits for evictions".to_owned(), now);
+                self.log_waiting(task, &ask.name, "waits for evictions".to_owned(), now);
                 if self.make_room(&ask, worker, &victims, now) {
-                    return Attempt::Evicting;
+                    return StartOutcome::Evicting;
                 }
-                Attempt::Blocked
+                StartOutcome::Blocked
             }
             Choice::Wait(reason) => {
-                self.note_waiting(task, &ask.name, format!("{reason:?}"), now);
-                Attempt::Blocked
+                self.log_waiting(task, &ask.name, format!("{reason:?}"), now);
+                StartOutcome::Blocked
             }
             Choice::Never(reason) => {
-                self.note_waiting(task, &ask.name, reason, now);
-                Attempt::Blocked
+                self.log_waiting(task, &ask.name, reason, now);
+                StartOutcome::Blocked
             }
         }
     }
 
-    fn note_waiting(&mut self, task: TaskKey, name: &Arc<str>, reason: String, now: Monotonic) {
-        let lane = self.lanes.lane(name);
-        let logged = lane
-            .waits
+    fn log_waiting(&mut self, task: TaskKey, name: &Arc<str>, reason: String, now: Monotonic) {
+        let queue = self.queues.queue(name);
+        let logged = queue
+            .last_wait
             .as_ref()
             .is_some_and(|(last, at)| *last == reason && now.since(*at) < WAITING_LOG_MS);
         if logged {
             return;
         }
-        lane.waits = Some((reason.clone(), now));
+        queue.last_wait = Some((reason.clone(), now));
         let entry = Entry::new(Kind::Waiting)
             .with_text("task", self.jobs[task.job].task_id(task.index))
             .with("profile", &**name)
@@ -207,12 +209,12 @@
         runner_up: Option<WorkerKey>,
         reason: Reason,
         now: Monotonic,
-    ) -> Attempt {
+    ) -> StartOutcome {
         let Some(run) = self.next_run() else {
-            return Attempt::Blocked;
+            return StartOutcome::Blocked;
         };
         if !self.occupy(worker, task, run, &ask.name, &ask.profile, now) {
-            return Attempt::Blocked;
+            return StartOutcome::Blocked;
         }
         let command = self.start_command(task, run, &ask.profile);
         let checkpoint_ms = self.progress_of(task);
@@ -223,9 +225,9 @@
             Run {
                 task,
                 worker,
-                sent: None,
+                start_seq: None,
                 seen: false,
-                held: true,
+                accounted: true,
                 evicting: false,
                 checkpoint_ms,
                 reason: format!("{reason:?}"),
@@ -247,17 +249,17 @@
             .with("reason", format!("{reason:?}"))
             .with("checkpoint-ms", checkpoint_ms);
         self.log(entry);
-        Attempt::Started
+        StartOutcome::Started
     }
 
-    /// Next number of a run, unique in the shard over all epochs.
+    /// Next run number, unique in the shard over all epochs; `None` if the epoch has no more.
     fn next_run(&mut self) -> Option<u64> {
         let owned = self.owned.as_mut()?;
         owned.next_run = owned.next_run.checked_add(1)?;
         Some(owned.epoch << 32 | u64::from(owned.next_run))
     }
 
-    /// Commits a worker's resources to a run; says whether it had the room.
+    /// Commits a worker's resources to a run; returns whether it had room.
     pub(super) fn occupy(
         &mut self,
         worker: WorkerKey,
@@ -283,7 +285,7 @@
         Command::Start {
             task: job.task_id(task.index),
             run,
-            profile: job.name.to_string(),
+            profile: job.profile_name.to_string(),
             class: profile.class,
             resources: profile.resources,
             run_ms: job.record.spec.run_ms,
@@ -301,34 +303,34 @@
             .map_or(0, |checkpoint| checkpoint.progress_ms)
     }
 
-    /// Takes back a run that provably never started.
+    /// Withdraws a run that provably never started.
     pub(super) fn withdraw(&mut self, run: u64, now: Monotonic) {
-        let Some(gone) = self.remove_run(run) else {
+        let Some(removed) = self.remove_run(run) else {
             return;
         };
-        self.set_phase(gone.task, Some(Phase::Ready));
-        self.stir(now);
-        let cancelled = self.jobs[gone.task.job].record.cancelled;
+        self.set_phase(removed.task, Some(Phase::Ready));
+        self.schedule_pass(now);
+        let cancelled = self.jobs[removed.task.job].record.cancelled;
         if cancelled {
-            self.cancel_waiting(gone.task.job);
-            self.touch(gone.task.job, false);
+            self.cancel_waiting(removed.task.job);
+            self.queue_write(removed.task.job, false);
         }
     }
 
-    /// Forgets a run and releases what it holds.
+    /// Removes a run and releases its resources.
     pub(super) fn remove_run(&mut self, run: u64) -> Option<Run> {
-        let gone = self.runs.remove(&run)?;
-        self.placer.vacate(gone.worker, gone.task);
-        if let Some(worker) = self.workers.get_mut(gone.worker) {
+        let removed = self.runs.remove(&run)?;
+        self.placer.vacate(removed.worker, removed.task);
+        if let Some(worker) = self.workers.get_mut(removed.worker) {
             worker.runs.remove(&run);
-            worker.evicting -= usize::from(gone.evicting);
+            worker.evicting -= usize::from(removed.evicting);
             worker.commands.retain(|command| run_of(command) != run);
         }
-        Some(gone)
+        Some(removed)
     }
 }
 
-/// Run that a command is about.
+/// Run that a command refers to.
 pub(super) fn run_of(command: &Command) -> u64 {
     match command {
         Command::Start { run, .. }
--- a/crates/verbenahitch/src/scheduler/shard/status.rs
+++ b/crates/verbenahitch/src/scheduler/shard/status.rs
@@ -1,4 +1,4 @@
-//! How the shard stands, for operators.
+//! State of the shard, for operators.
 
 use super::Shard;
 use super::job::Phase;
@@ -6,9 +6,9 @@
 use crate::scheduler::{ShardStatus, WorkerStatus};
 
 impl Shard {
-    /// How the shard stood at the newest step.
+    /// State of the shard at the last step.
     pub fn status(&self) -> ShardStatus {
-        let now = self.stepped;
+        let now = self.last_step;
         let mut workers: Vec<WorkerStatus> = self
             .workers
             .iter()
@@ -16,7 +16,10 @@
                 name: worker.host.name.clone(),
                 state: worker.describe(now),
                 running: count(worker.runs.len()),
-                committed_percent: committed(self.placer.capacity(key), self.placer.free(key)),
+                committed_percent: percent_committed(
+                    self.placer.capacity(key),
+                    self.placer.free(key),
+                ),
             })
             .collect();
         workers.sort_by(|a, b| a.name.cmp(&b.name));
@@ -36,13 +39,13 @@
         self.jobs
             .values()
             .map(|job| {
-                let over = job.record.ended.len() + job.running;
-                job.record.spec.tasks.saturating_sub(over)
+                let ended_or_running = job.record.ended.len() + job.running;
+                job.record.spec.tasks.saturating_sub(ended_or_running)
             })
             .sum()
     }
 
-    /// Why a task is where it is, in words.
+    /// Explanation of a task's state and placement.
     pub(super) fn explain(&self, key: JobKey, index: u32) -> String {
         let job = &self.jobs[key];
         if index >= job.record.spec.tasks {
@@ -89,7 +92,7 @@
     u32::try_from(len).unwrap_or(u32::MAX)
 }
 
-fn committed(capacity: Resources, free: Resources) -> u32 {
+fn percent_committed(capacity: Resources, free: Resources) -> u32 {
     let used = capacity.millicores.saturating_sub(free.millicores);
     let percent = used * 100 / capacity.millicores.max(1);
     u32::try_from(percent).unwrap_or(u32::MAX)
--- a/crates/verbenahitch/src/scheduler/shard/syncs.rs
+++ b/crates/verbenahitch/src/scheduler/shard/syncs.rs
@@ -1,8 +1,8 @@
-//! Messages to workers and their answers.
+//! Syncs: calls to workers and their answers.
 //!
-//! At most one sync per worker is under way. A sync names an instant of the
+//! At most one sync per worker is in flight. A sync contains a time on the
 //! worker's own clock after which the worker refuses it, so that neither a lease
-//! nor a start takes effect later than this owner has reckoned with.
+//! nor a start takes effect later than this owner assumes.
 
 use super::starts::run_of;
 use super::worker::InFlight;
@@ -13,16 +13,16 @@
 use crate::port::{Command, Refusal, SyncError, SyncReply, SyncRequest};
 use crate::scheduler::Action;
 
-/// Time between two syncs with a worker on which a run writes its checkpoint.
+/// Time between two syncs with a worker while one of its runs is being evicted or blocks it.
 const EVICTING_SYNC_MS: Millis = 250;
-/// Probes of a silent worker in the time of one sync with another.
+/// A worker that does not answer is called this many times per regular sync interval.
 const PROBES_PER_SYNC: Millis = 4;
-/// Largest deviation of a worker's clock, as one part in so many, that is no sign of a restart.
-const CLOCK_DRIFT_PARTS: Millis = 16;
+/// A worker's clock may lag by the elapsed time divided by this; a larger lag means a restart.
+const CLOCK_DRIFT_DIVISOR: Millis = 16;
 const CLOCK_ROUNDING_MS: Millis = 10;
 
 impl Shard {
-    /// Has a worker looked at no later than `at`.
+    /// Makes the next sync with a worker due at `at` at the latest, unless one is in flight.
     pub(super) fn wake(&mut self, key: WorkerKey, at: Monotonic) {
         let Some(worker) = self.workers.get_mut(key) else {
             return;
@@ -42,14 +42,14 @@
         self.timers.insert((at, key));
     }
 
-    /// Sends what is due and gives up what was not answered in time.
+    /// Sends the syncs that are due and fails those that were not answered in time.
     pub(super) fn flush_syncs(&mut self, now: Monotonic) {
         while let Some((_, key)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
             let Some(owned) = self.owned else {
                 return;
             };
             if self.workers[key].inflight.is_some() {
-                let reason = "no answer in time".to_owned();
+                let reason = "the worker did not answer in time".to_owned();
                 self.fail_sync(key, SyncError::Unanswered { reason }, now);
             }
             if !self.drop_unlisted(key) {
@@ -61,12 +61,12 @@
     fn send_sync(&mut self, key: WorkerKey, owned: Ownership, now: Monotonic) {
         let may_start = self.may_start(now);
         let worker = &self.workers[key];
-        // A silent worker is only probed, so that its leases lapse.
+        // A worker that did not answer gets syncs without renewal, so that its leases lapse.
         let may_renew = now < self.authority && worker.clock.is_some() && !worker.silent;
         if !may_start || !may_renew {
             self.withdraw_unsent(key, now);
         }
-        let bound_ms = self.bound_of(key, may_renew, now);
+        let ttl_ms = self.sync_ttl_ms(key, may_renew, now);
         let lease_ms = if may_renew {
             self.params.task_lease_ms
         } else {
@@ -81,18 +81,18 @@
         };
         for run in commands.iter().filter_map(start_of) {
             if let Some(run) = self.runs.get_mut(&run) {
-                run.sent = Some(seq);
+                run.start_seq = Some(seq);
             }
         }
         if may_renew {
-            worker.lapse = worker.lapse.max(now + bound_ms + lease_ms);
+            worker.lapses_at = worker.lapses_at.max(now + ttl_ms + lease_ms);
         }
         let request = SyncRequest {
             shard: self.name.clone(),
             owner: self.params.owner.clone(),
             epoch: owned.epoch,
             seq,
-            not_after: worker.not_after(now, bound_ms),
+            not_after: worker.not_after(now, ttl_ms),
             lease_ms,
             commands: commands.clone(),
             acked: std::mem::take(&mut worker.acks),
@@ -105,7 +105,7 @@
                 .filter(|command| start_of(command).is_none())
                 .collect(),
         });
-        self.out.push(Action::Sync {
+        self.actions.push(Action::Sync {
             worker: worker.host.name.clone(),
             address: worker.host.control.clone(),
             request,
@@ -113,22 +113,22 @@
         self.set_due(key, now + self.params.sync_limit_ms());
     }
 
-    /// How long after now the worker may still take the next sync.
+    /// Time for which the worker may accept the next sync.
     ///
-    /// Starts are not taken once the permit has lapsed, nor leases renewed once
-    /// the authority has.
-    fn bound_of(&self, key: WorkerKey, may_renew: bool, now: Monotonic) -> Millis {
-        let mut bound_ms = self.params.call_bound_ms();
+    /// It must not accept starts after the permit has lapsed, nor renew leases after
+    /// the authority has lapsed.
+    fn sync_ttl_ms(&self, key: WorkerKey, may_renew: bool, now: Monotonic) -> Millis {
+        let mut ttl_ms = self.params.call_ttl_ms();
         if may_renew {
-            bound_ms = bound_ms.min(self.authority.since(now));
+            ttl_ms = ttl_ms.min(self.authority.since(now));
         }
         if self.workers[key].commands.iter().any(is_start) {
-            bound_ms = bound_ms.min(self.permit.since(now));
+            ttl_ms = ttl_ms.min(self.permit.since(now));
         }
-        bound_ms
+        ttl_ms
     }
 
-    /// Takes back the starts that wait for a sync with a worker.
+    /// Withdraws the starts that wait for a sync with a worker.
     fn withdraw_unsent(&mut self, key: WorkerKey, now: Monotonic) {
         let commands = &self.workers[key].commands;
         let starts: Vec<u64> = commands.iter().filter_map(start_of).collect();
@@ -154,40 +154,40 @@
         };
         let restarted = worker.clock.is_some_and(|(clock, read)| {
             let passed = inflight.sent.min(sent).since(read);
-            let slack = passed / CLOCK_DRIFT_PARTS + CLOCK_ROUNDING_MS;
+            let slack = passed / CLOCK_DRIFT_DIVISOR + CLOCK_ROUNDING_MS;
             reply.clock + slack < clock + passed
         });
         worker.clock = Some((reply.clock, now));
         let first = !std::mem::replace(&mut worker.answered, true);
         if first {
-            // An earlier owner may have renewed until the worker took this epoch.
-            worker.lapse = now + self.params.task_lease_ms;
+            // An earlier owner may have renewed leases until the worker accepted this epoch.
+            worker.lapses_at = now + self.params.task_lease_ms;
         }
         let silent = std::mem::replace(&mut worker.silent, false);
         if first || silent {
             let entry = Entry::new(Kind::WorkerAnswering).with("worker", name);
             self.log(entry);
         }
-        self.take_report(key, seq, restarted, &reply, now);
+        self.process_report(key, seq, restarted, &reply, now);
         self.placer.observe(key, &reply.usage, now);
-        self.refresh(key, now);
+        self.refresh_worker(key, now);
         self.set_due(key, self.next_sync(key, first || silent, now));
     }
 
     fn next_sync(&self, key: WorkerKey, probed: bool, now: Monotonic) -> Monotonic {
         let worker = &self.workers[key];
-        // A probe renews nothing.
+        // The answered sync did not renew the leases.
         if !worker.commands.is_empty() || (probed && !worker.runs.is_empty()) {
             return now;
         }
-        if worker.evicting > 0 || !worker.strays.is_empty() {
+        if worker.evicting > 0 || !worker.blocking_runs.is_empty() {
             return now + EVICTING_SYNC_MS.min(self.params.sync_ms);
         }
         now + self.params.sync_ms
     }
 
-    /// Takes in what a worker says of its runs.
-    fn take_report(
+    /// Processes a worker's report about its runs.
+    fn process_report(
         &mut self,
         key: WorkerKey,
         seq: u64,
@@ -195,7 +195,7 @@
         reply: &SyncReply,
         now: Monotonic,
     ) {
-        self.workers[key].strays.clear();
+        self.workers[key].blocking_runs.clear();
         for refusal in &reply.refused {
             self.on_refused(key, seq, refusal, reply, now);
         }
@@ -235,16 +235,16 @@
         };
         let reported = reply.running.iter().any(|other| other.run == refusal.run)
             || reply.ended.iter().any(|other| other.run == refusal.run);
-        if run.worker != key || run.sent != Some(seq) || run.seen || reported {
+        if run.worker != key || run.start_seq != Some(seq) || run.seen || reported {
             if std::mem::take(&mut run.evicting) {
                 self.workers[key].evicting -= 1;
             }
             return;
         }
-        // The worker lacks what the list says it has; it gets a rest.
+        // The worker has less room than its listed capacity; give it no tasks for a while.
         let pause = self.params.sync_ms;
         let worker = &mut self.workers[key];
-        worker.opens = worker.opens.max(now + pause);
+        worker.opens_at = worker.opens_at.max(now + pause);
         self.withdraw(refusal.run, now);
     }
 
@@ -279,7 +279,7 @@
                     return self.stand_down("a worker has seen a higher epoch", now);
                 }
             }
-            // An earlier copy of the call may have been taken: the next answer tells.
+            // The worker may have accepted an earlier copy of the call; the next answer shows it.
             SyncError::Late { clock } => {
                 self.workers[key].clock = Some((clock, now));
                 retry = now;
@@ -295,32 +295,32 @@
                 .with_text("reason", &error);
             self.log(entry);
         }
-        self.refresh(key, now);
-        self.lapse_silent(key, now);
+        self.refresh_worker(key, now);
+        self.lose_lapsed_runs(key, now);
         self.set_due(key, retry);
     }
 
-    /// Puts commands of a failed sync in front of those that wait.
+    /// Queues the commands of a failed sync before those that are waiting.
     fn resend(&mut self, key: WorkerKey, mut commands: Vec<Command>) {
         let worker = &mut self.workers[key];
         commands.append(&mut worker.commands);
         worker.commands = commands;
     }
 
-    /// Takes back the starts of a sync that provably had no effect.
+    /// Withdraws the starts of a sync that provably had no effect.
     fn withdraw_sent(&mut self, key: WorkerKey, seq: u64, now: Monotonic) {
         let sent: Vec<u64> = self.workers[key]
             .runs
             .iter()
             .copied()
-            .filter(|run| self.runs[run].sent == Some(seq))
+            .filter(|run| self.runs[run].start_seq == Some(seq))
             .collect();
         for run in sent {
             self.withdraw(run, now);
         }
     }
 
-    /// Queues a command, in place of an equal one about the same run.
+    /// Queues a command, replacing one of the same kind for the same run.
     pub(super) fn command(&mut self, key: WorkerKey, command: Command, now: Monotonic) {
         let Some(worker) = self.workers.get_mut(key) else {
             return;
--- a/crates/verbenahitch/src/scheduler/shard/worker.rs
+++ b/crates/verbenahitch/src/scheduler/shard/worker.rs
@@ -5,9 +5,10 @@
 use crate::placement::WorkerState;
 use crate::port::{Command, HostRecord, HostState};
 
-const CONDEMNING_JOBS: usize = 3;
-const FIRST_PROBE_MS: Millis = 5_000;
-const LAST_PROBE_MS: Millis = 60_000;
+/// Number of jobs that have to fail on a worker before it is quarantined.
+const QUARANTINE_JOBS: usize = 3;
+const MIN_PROBE_MS: Millis = 5_000;
+const MAX_PROBE_MS: Millis = 60_000;
 
 /// A sync that was sent and not yet answered.
 #[derive(Debug)]
@@ -16,11 +17,13 @@
     pub seq: u64,
     /// When it was sent.
     pub sent: Monotonic,
-    /// Commands that are sent again if it fails.
+    /// Commands to send again if it fails.
     pub commands: Vec<Command>,
 }
 
-/// Confinement of a worker that fails what it starts.
+/// Quarantine of a worker on which tasks of several jobs fail.
+///
+/// A quarantined worker gets single tasks as probes, with exponential backoff.
 #[derive(Debug, Default)]
 pub(super) struct Health {
     failed: HashSet<JobKey>,
@@ -30,68 +33,69 @@
 }
 
 impl Health {
-    /// Notes a failure that the worker may be to blame for; says whether it is now quarantined.
-    pub fn note_failure(&mut self, job: JobKey, now: Monotonic) -> bool {
+    /// Records a failure that the worker may have caused; returns whether a quarantine began.
+    pub fn record_failure(&mut self, job: JobKey, now: Monotonic) -> bool {
         self.failed.insert(job);
-        if !self.quarantined && self.failed.len() < CONDEMNING_JOBS {
+        if !self.quarantined && self.failed.len() < QUARANTINE_JOBS {
             return false;
         }
         let next = self.backoff_ms.saturating_mul(2);
-        self.backoff_ms = next.clamp(FIRST_PROBE_MS, LAST_PROBE_MS);
+        self.backoff_ms = next.clamp(MIN_PROBE_MS, MAX_PROBE_MS);
         self.probe_at = now + self.backoff_ms;
         !std::mem::replace(&mut self.quarantined, true)
     }
 
-    /// Notes a success; says whether this ended a quarantine.
-    pub fn note_success(&mut self) -> bool {
+    /// Records a success; returns whether this ended a quarantine.
+    pub fn record_success(&mut self) -> bool {
         std::mem::take(self).quarantined
     }
 }
 
-/// A worker with all that the owner knows of it.
+/// A worker and the state that the shard's owner keeps about it.
 #[derive(Debug)]
 pub(super) struct Worker {
     /// Key, also in the placer.
     pub key: WorkerKey,
-    /// Its entry in the platform's list.
+    /// Its entry in the platform's list of workers.
     pub host: HostRecord,
-    /// Whether the list still shows it.
+    /// Whether the list still contains it.
     pub listed: bool,
-    /// Whether it answered under this epoch.
+    /// Whether it has answered in this epoch.
     pub answered: bool,
     /// Whether its last sync failed.
     pub silent: bool,
-    /// Sync under way.
+    /// Sync in flight.
     pub inflight: Option<InFlight>,
     /// Commands for the next sync.
     pub commands: Vec<Command>,
-    /// Ended runs that the worker may forget.
+    /// Ended runs to acknowledge, which the worker may then forget.
     pub acks: Vec<u64>,
-    /// Its clock, and when the answer that told it was taken in.
+    /// Reading of its clock, and when the answer with it was processed.
     pub clock: Option<(Millis, Monotonic)>,
-    /// When every lease that this owner renewed there has lapsed.
-    pub lapse: Monotonic,
-    /// Runs given to it or found on it.
+    /// When all leases that this owner renewed there have lapsed.
+    pub lapses_at: Monotonic,
+    /// Runs that were assigned to it or that it reported.
     pub runs: HashSet<u64>,
     /// Ended runs whose commit is not yet durable.
     pub ending: HashSet<u64>,
-    /// Runs on it that must stop and belong to no task here.
-    pub strays: HashSet<u64>,
-    /// Runs that were told to stop with a checkpoint.
+    /// Runs that keep the worker closed: superseded ones that have to stop, and adopted ones that
+    /// the placer cannot account for.
+    pub blocking_runs: HashSet<u64>,
+    /// Number of runs that are being evicted.
     pub evicting: usize,
-    /// When it takes tasks, while its zone returns.
-    pub opens: Monotonic,
-    /// Confinement.
+    /// When it may first be given tasks, while its zone returns to service or after a refusal.
+    pub opens_at: Monotonic,
+    /// Quarantine state.
     pub health: Health,
-    /// What the placer was told of it.
-    pub shown: WorkerState,
-    /// When something is due.
+    /// State last passed to the placer.
+    pub placer_state: WorkerState,
+    /// Time of its next sync, or of the timeout of the one in flight.
     pub due: Monotonic,
 }
 
 impl Worker {
-    /// Creates a worker that has not been heard.
-    pub fn new(key: WorkerKey, host: HostRecord, opens: Monotonic, now: Monotonic) -> Self {
+    /// Creates a worker that has not answered yet.
+    pub fn new(key: WorkerKey, host: HostRecord, opens_at: Monotonic, now: Monotonic) -> Self {
         Self {
             key,
             host,
@@ -102,31 +106,36 @@
             commands: Vec::new(),
             acks: Vec::new(),
             clock: None,
-            lapse: Monotonic::default(),
+            lapses_at: Monotonic::default(),
             runs: HashSet::default(),
             ending: HashSet::default(),
-            strays: HashSet::default(),
+            blocking_runs: HashSet::default(),
             evicting: 0,
-            opens,
+            opens_at,
             health: Health::default(),
-            shown: WorkerState::Closed,
+            placer_state: WorkerState::Closed,
             due: now,
         }
     }
 
-    /// Forgets what holds for one epoch only.
+    /// Resets the state that is valid in one epoch only.
     pub fn reset(&mut self, now: Monotonic) {
         *self = Self {
             listed: self.listed,
             health: std::mem::take(&mut self.health),
-            ..Self::new(self.key, self.host.clone(), self.opens, now)
+            ..Self::new(self.key, self.host.clone(), self.opens_at, now)
         };
     }
 
-    /// Whether it may be given tasks.
+    /// State for the placer: whether it may be given tasks.
     pub fn state(&self, now: Monotonic) -> WorkerState {
         let live = self.listed && self.host.state == HostState::Live;
-        if !live || !self.answered || self.silent || !self.strays.is_empty() || now < self.opens {
+        if !live
+            || !self.answered
+            || self.silent
+            || !self.blocking_runs.is_empty()
+            || now < self.opens_at
+        {
             return WorkerState::Closed;
         }
         match (self.health.quarantined, now < self.health.probe_at) {
@@ -136,7 +145,7 @@
         }
     }
 
-    /// State in words.
+    /// State as text.
     pub fn describe(&self, now: Monotonic) -> String {
         let words = match () {
             () if !self.answered => "not yet heard",
@@ -144,17 +153,17 @@
             () if self.host.state == HostState::Leaving => "leaving",
             () if self.host.state == HostState::Dead => "reported dead",
             () if !self.listed => "not listed",
-            () if !self.strays.is_empty() => "stopping superseded runs",
+            () if !self.blocking_runs.is_empty() => "stopping superseded runs",
             () if self.health.quarantined => "quarantined",
-            () if now < self.opens => "returning",
+            () if now < self.opens_at => "returning",
             () => "open",
         };
         words.to_owned()
     }
 
-    /// Instant of the worker's clock that lies `bound_ms` ahead, zero if its clock is not known.
-    pub fn not_after(&self, now: Monotonic, bound_ms: Millis) -> Millis {
+    /// Time on the worker's clock `ttl_ms` from now; zero if its clock is not known.
+    pub fn not_after(&self, now: Monotonic, ttl_ms: Millis) -> Millis {
         self.clock
-            .map_or(0, |(clock, read)| clock + now.since(read) + bound_ms)
+            .map_or(0, |(clock, read)| clock + now.since(read) + ttl_ms)
     }
 }
--- a/crates/verbenahitch/src/scheduler/shard/zone.rs
+++ b/crates/verbenahitch/src/scheduler/shard/zone.rs
@@ -1,4 +1,4 @@
-//! Declarations, the list of workers, zones taken out and returning.
+//! Declarations, the list of workers, zones going out of and into service.
 
 use std::hash::Hasher;
 use std::sync::Arc;
@@ -13,13 +13,13 @@
 use crate::placement::WorkerState;
 use crate::port::{HostRecord, HostState};
 
-/// Time between two looks for jobs to hand over.
+/// Time between two passes that hand jobs over.
 const MOVES_MS: Millis = 100;
-/// Most jobs handed over at a time, so that a look stays short.
-const MOVES_PER_LOOK: usize = 256;
+/// Largest number of jobs handed over in one pass, so that a step stays short.
+const MOVES_PER_PASS: usize = 256;
 
 impl Shard {
-    /// Whether the shard's zone takes work.
+    /// Whether the shard's zone is in service.
     pub(super) fn in_service(&self) -> bool {
         self.declared.is_in(&self.params.shard.zone)
     }
@@ -39,17 +39,17 @@
         self.placer.declare(Arc::clone(&self.declared), share);
         let keys: Vec<JobKey> = self.jobs.keys().collect();
         for key in keys {
-            self.profile_job(key);
+            self.assign_profile(key);
         }
         if !self.in_service() {
-            self.leave_zone(now);
+            self.on_zone_out(now);
         } else if !before && !first {
-            self.return_zone(now);
+            self.on_zone_in(now);
         }
-        self.stir(now);
+        self.schedule_pass(now);
     }
 
-    /// This shard's part of the teams' quotas: one of all shards in service.
+    /// This shard's part of the teams' quotas, which all shards in service share equally.
     fn quota_share(&self) -> f64 {
         let shards: u32 = self
             .declared
@@ -61,7 +61,7 @@
         1.0 / f64::from(shards.max(1))
     }
 
-    fn leave_zone(&mut self, now: Monotonic) {
+    fn on_zone_out(&mut self, now: Monotonic) {
         self.moves_due = now;
         let mut runs: Vec<u64> = self.runs.keys().copied().collect();
         runs.sort_unstable();
@@ -70,16 +70,16 @@
         }
     }
 
-    /// Opens the workers one after another over the zone's ramp.
-    fn return_zone(&mut self, now: Monotonic) {
-        self.returning = Some(now);
+    /// Spreads the opening times of the workers evenly over the zone's ramp.
+    fn on_zone_in(&mut self, now: Monotonic) {
+        self.returning_since = Some(now);
         let mut keys: Vec<WorkerKey> = self.workers.keys().collect();
-        keys.sort_by_key(|key| spread(&self.workers[*key].host.name));
+        keys.sort_by_key(|key| name_rank(&self.workers[*key].host.name));
         let ramp_ms = self.ramp_ms();
         let count = u64::try_from(keys.len()).unwrap_or(u64::MAX).max(1);
         for (at, key) in (0..).zip(keys) {
-            self.workers[key].opens = now + ramp_ms * at / count;
-            self.refresh(key, now);
+            self.workers[key].opens_at = now + ramp_ms * at / count;
+            self.refresh_worker(key, now);
         }
     }
 
@@ -88,18 +88,21 @@
         zone.map_or(0, |zone| zone.ramp_ms)
     }
 
-    /// When a worker that the list shows for the first time takes tasks.
-    fn opening(&self, name: &str, now: Monotonic) -> Monotonic {
+    /// When a newly listed worker may first be given tasks.
+    fn opening_time(&self, name: &str, now: Monotonic) -> Monotonic {
         const PARTS: u64 = 1 << 10;
         let ramp_ms = self.ramp_ms();
-        match self.returning.filter(|since| now.since(*since) < ramp_ms) {
-            Some(since) => since + ramp_ms * (spread(name) % PARTS) / PARTS,
+        match self
+            .returning_since
+            .filter(|since| now.since(*since) < ramp_ms)
+        {
+            Some(since) => since + ramp_ms * (name_rank(name) % PARTS) / PARTS,
             None => now,
         }
     }
 
     pub(super) fn on_hosts(&mut self, hosts: Vec<HostRecord>, now: Monotonic) {
-        self.listed = true;
+        self.has_hosts = true;
         let mut unlisted: HashMap<String, WorkerKey> = self.by_name.clone();
         for host in hosts {
             unlisted.remove(&host.name);
@@ -110,7 +113,7 @@
         }
         for key in unlisted.into_values() {
             self.workers[key].listed = false;
-            self.refresh(key, now);
+            self.refresh_worker(key, now);
         }
     }
 
@@ -119,8 +122,9 @@
             .placer
             .add_worker(host.capacity, &host.rack, WorkerState::Closed);
         self.by_name.insert(host.name.clone(), key);
-        let opens = self.opening(&host.name, now);
-        self.workers.insert(key, Worker::new(key, host, opens, now));
+        let opens_at = self.opening_time(&host.name, now);
+        self.workers
+            .insert(key, Worker::new(key, host, opens_at, now));
         self.timers.insert((now, key));
     }
 
@@ -135,7 +139,7 @@
         }
         let leaves = worker.host.state != host.state && host.state == HostState::Leaving;
         worker.host = host;
-        self.refresh(key, now);
+        self.refresh_worker(key, now);
         if leaves {
             let mut runs: Vec<u64> = self.workers[key].runs.iter().copied().collect();
             runs.sort_unstable();
@@ -145,22 +149,22 @@
         }
     }
 
-    /// Tells the placer whether a worker takes tasks.
-    pub(super) fn refresh(&mut self, key: WorkerKey, now: Monotonic) {
+    /// Updates the state of a worker in the placer.
+    pub(super) fn refresh_worker(&mut self, key: WorkerKey, now: Monotonic) {
         let Some(worker) = self.workers.get_mut(key) else {
             return;
         };
         let state = worker.state(now);
-        if std::mem::replace(&mut worker.shown, state) == state {
+        if std::mem::replace(&mut worker.placer_state, state) == state {
             return;
         }
         self.placer.set_state(key, state);
         if state != WorkerState::Closed {
-            self.stir(now);
+            self.schedule_pass(now);
         }
     }
 
-    /// Forgets a worker that the list no longer shows and that holds nothing; says whether it did.
+    /// Removes a worker that is no longer listed and has no runs; returns whether it was removed.
     pub(super) fn drop_unlisted(&mut self, key: WorkerKey) -> bool {
         let worker = &self.workers[key];
         let settled = self.is_settled();
@@ -175,7 +179,7 @@
         true
     }
 
-    /// Hands jobs over of which nothing runs here, while the zone is out.
+    /// Hands over jobs of which nothing can be running here, while the zone is out of service.
     pub(super) fn move_jobs(&mut self, now: Monotonic) {
         if now < self.moves_due || self.in_service() || !self.is_settled() {
             return;
@@ -191,7 +195,7 @@
             .filter(|(_, job)| job.stage == Stage::Stored && !job.record.is_finished())
             .filter(|(_, job)| job.is_idle())
             .map(|(key, _)| key)
-            .take(MOVES_PER_LOOK)
+            .take(MOVES_PER_PASS)
             .collect();
         for key in idle {
             self.move_job(key, &targets);
@@ -205,16 +209,17 @@
         }
         let job = &mut self.jobs[key];
         for checkpoint in job.record.checkpoints.values_mut() {
-            // Numbers of runs compare within one shard only.
+            // Run numbers are comparable within one shard only.
             checkpoint.run = 0;
         }
         let target = targets
             .iter()
-            .max_by_key(|shard| attraction(&job.record.id, shard));
+            .max_by_key(|shard| rendezvous_weight(&job.record.id, shard));
         if let Some(target) = target {
             job.stage = Stage::Moving(target.clone());
-            self.lanes.file(&job.name, job.order, key, false, false);
-            self.touch(key, false);
+            self.queues
+                .set_membership(&job.profile_name, job.order, key, false, false);
+            self.queue_write(key, false);
         }
     }
 
@@ -233,15 +238,15 @@
     }
 }
 
-/// Rank of a worker's name, the same in every process.
-fn spread(name: &str) -> u64 {
+/// Pseudo-random rank of a worker, the same in every process.
+fn name_rank(name: &str) -> u64 {
     let mut hasher = rustc_hash::FxHasher::default();
     hasher.write(name.as_bytes());
     hasher.finish() >> 16
 }
 
-/// How much a job prefers a shard; the highest gets it, whoever reckons.
-fn attraction(id: &JobId, shard: &ShardId) -> u64 {
+/// Rendezvous hashing weight of a shard for a job, the same in every process; the highest wins.
+fn rendezvous_weight(id: &JobId, shard: &ShardId) -> u64 {
     let mut hasher = rustc_hash::FxHasher::default();
     hasher.write(id.as_str().as_bytes());
     hasher.write(shard.zone.as_bytes());
