--- a/crates/verbenahitch/src/adapter/hosts.rs
+++ b/crates/verbenahitch/src/adapter/hosts.rs
@@ -1,5 +1,5 @@
-//! Client of the platform's lagging list of workers, over the HTTP interface
-//! that Consul publishes for the health of a service.
+//! Client of the platform's list of workers, over the HTTP interface that Consul
+//! publishes for the health of a service. The list lags behind the workers' state.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -61,15 +61,15 @@
         }
     }
 
-    /// Reads the whole list. Entries that lack a needed field are left out and logged.
+    /// Reads the whole list. Entries that lack a required field are logged and skipped.
     ///
     /// # Errors
     ///
-    /// When the list gives no answer.
+    /// When the service that holds the list does not answer.
     pub async fn read(&self) -> Result<Vec<HostRecord>, StoreError> {
         let url = format!("http://{}/v1/health/service/{}", self.address, self.service);
         let response = self.http.send(self.http.client().get(url)).await;
-        let response = response.map_err(|error| self.failed(error))?;
+        let response = response.map_err(|error| self.call_failure(error))?;
         let status = response.status();
         if !status.is_success() {
             return Err(self.unanswered(format!("status {status}")));
@@ -78,31 +78,31 @@
         let bytes = bytes.map_err(|error| self.unanswered(error.to_string()))?;
         let wire: Vec<WireHost> = serde_json::from_slice(&bytes)
             .map_err(|error| self.unanswered(format!("malformed list: {error}")))?;
-        Ok(wire.into_iter().filter_map(record).collect())
+        Ok(wire.into_iter().filter_map(host_record).collect())
     }
 
-    /// Reads the list every `interval_ms` and publishes it, until nobody receives it.
+    /// Reads the list every `interval_ms` and publishes it, until all receivers are dropped.
     ///
-    /// While the list gives no answer, the newest one stays published.
-    pub async fn poll(self, interval_ms: Millis, newest: watch::Sender<Arc<Vec<HostRecord>>>) {
-        while !newest.is_closed() {
+    /// When a read fails, the last list that was read stays published.
+    pub async fn poll(self, interval_ms: Millis, list: watch::Sender<Arc<Vec<HostRecord>>>) {
+        while !list.is_closed() {
             match self.read().await {
                 Ok(hosts) => {
-                    newest.send_if_modified(|held| {
-                        let changed = **held != hosts;
+                    list.send_if_modified(|published| {
+                        let changed = **published != hosts;
                         if changed {
-                            *held = Arc::new(hosts);
+                            *published = Arc::new(hosts);
                         }
                         changed
                     });
                 }
-                Err(error) => log::warn!("list of workers: {error}"),
+                Err(error) => log::warn!("cannot read the list of workers: {error}"),
             }
             tokio::time::sleep(Duration::from_millis(interval_ms)).await;
         }
     }
 
-    fn failed(&self, error: CallError) -> StoreError {
+    fn call_failure(&self, error: CallError) -> StoreError {
         match error {
             CallError::NotSent(reason) => StoreError::Unreachable {
                 address: self.address.clone(),
@@ -120,7 +120,7 @@
     }
 }
 
-fn record(host: WireHost) -> Option<HostRecord> {
+fn host_record(host: WireHost) -> Option<HostRecord> {
     let meta = &host.service.meta;
     let number = |key: &str| meta.get(key)?.parse::<u64>().ok();
     let record = || {
@@ -136,18 +136,21 @@
                 memory_mib: number("memory-mib")?,
                 accelerators: number("accelerators")?,
             },
-            state: state(&host.checks),
+            state: host_state(&host.checks),
         })
     };
     let record = record();
     if record.is_none() {
-        log::warn!("worker {} of the list lacks a field", host.node.node);
+        log::warn!(
+            "worker {} is skipped: its entry in the list has a missing or malformed field",
+            host.node.node
+        );
     }
     record
 }
 
-/// A node in maintenance is leaving; a node with any other critical check is dead.
-fn state(checks: &[WireCheck]) -> HostState {
+/// A node in maintenance mode is leaving; a node with any other critical check is dead.
+fn host_state(checks: &[WireCheck]) -> HostState {
     let critical = |check: &&WireCheck| check.status == "critical";
     match checks.iter().find(critical) {
         Some(check) if check.check_id == "_node_maintenance" => HostState::Leaving,
--- a/crates/verbenahitch/src/adapter/http.rs
+++ b/crates/verbenahitch/src/adapter/http.rs
@@ -1,8 +1,8 @@
-//! HTTP client that drops all its open connections after a silent one.
+//! HTTP client that replaces its connection pool after a timeout.
 //!
-//! An open connection can go silent for good while new ones work. A call that
-//! times out therefore retires the whole pool: the next call opens a new
-//! connection instead of waiting on another silent one.
+//! An established connection can stop delivering data for good while new ones
+//! work. After a call that timed out, the whole pool is therefore replaced: the
+//! next call opens a new connection instead of timing out on another stalled one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,8 +12,8 @@
 
 use crate::domain::Millis;
 
-/// Longest time that an unused connection is kept, in milliseconds.
-const IDLE_LIMIT_MS: Millis = 10_000;
+/// Time after which an unused connection is closed, in milliseconds.
+const IDLE_TIMEOUT_MS: Millis = 10_000;
 
 /// Shared HTTP client; clones share its connections.
 #[derive(Clone, Debug)]
@@ -32,20 +32,20 @@
 }
 
 impl Http {
-    /// Creates a client whose calls end after `timeout_ms`.
+    /// Creates a client whose calls time out after `timeout_ms`.
     pub fn new(timeout_ms: Millis) -> Self {
         Self {
-            client: Arc::new(ArcSwap::from_pointee(build())),
+            client: Arc::new(ArcSwap::from_pointee(build_client())),
             timeout: Duration::from_millis(timeout_ms),
         }
     }
 
-    /// Current client, for building requests.
+    /// Client with the current connection pool, for building requests.
     pub fn client(&self) -> Arc<Client> {
         self.client.load_full()
     }
 
-    /// Sends `request` and waits for the head of the response.
+    /// Sends `request` and waits for the status line and headers of the response.
     ///
     /// # Errors
     ///
@@ -57,36 +57,36 @@
             Err(error) if error.is_connect() => Err(CallError::NotSent(describe(&error))),
             Err(error) => {
                 if error.is_timeout() {
-                    self.retire();
+                    self.replace_pool();
                 }
                 Err(CallError::Unanswered(describe(&error)))
             }
         }
     }
 
-    /// Gives up all open connections; calls in progress keep theirs.
-    pub fn retire(&self) {
-        self.client.store(Arc::new(build()));
+    /// Replaces the connection pool; calls in progress keep their connections.
+    pub fn replace_pool(&self) {
+        self.client.store(Arc::new(build_client()));
     }
 }
 
-fn build() -> Client {
+fn build_client() -> Client {
     Client::builder()
-        .pool_idle_timeout(Duration::from_millis(IDLE_LIMIT_MS))
+        .pool_idle_timeout(Duration::from_millis(IDLE_TIMEOUT_MS))
         .tcp_nodelay(true)
         .no_proxy()
         .build()
-        .expect("a client without TLS and proxies always builds")
+        .expect("building a client without TLS and proxies cannot fail")
 }
 
-/// Error with its causes on one line.
+/// Text of an error and of all its sources, on one line.
 pub(crate) fn describe(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
-    let mut cause = error.source();
-    while let Some(inner) = cause {
+    let mut source = error.source();
+    while let Some(inner) = source {
         text.push_str(": ");
         text.push_str(&inner.to_string());
-        cause = inner.source();
+        source = inner.source();
     }
     text
 }
--- a/crates/verbenahitch/src/adapter/mod.rs
+++ b/crates/verbenahitch/src/adapter/mod.rs
@@ -1,4 +1,5 @@
-//! Translations between the ports and the published protocols.
+//! Clients of the platform's services: translate between the types of
+//! [`crate::port`] and the published protocols.
 
 mod hosts;
 mod http;
@@ -8,5 +9,5 @@
 pub use hosts::HostList;
 pub(crate) use http::describe;
 pub use http::{CallError, Http};
-pub use store::{Store, Watched};
+pub use store::{Snapshot, Store};
 pub use worker::Workers;
--- a/crates/verbenahitch/src/adapter/store.rs
+++ b/crates/verbenahitch/src/adapter/store.rs
@@ -12,7 +12,7 @@
 use crate::domain::Millis;
 use crate::port::{Entry, Op, StoreError, Txn};
 
-/// Extra time that a watch gets beyond the wait that it asks for, in milliseconds.
+/// Time added to the requested wait of a watch for its HTTP timeout, in milliseconds.
 const WATCH_MARGIN_MS: Millis = 2_000;
 
 /// Client of the store; clones share its connections.
@@ -22,9 +22,9 @@
     http: Http,
 }
 
-/// Newest state of a key or of all keys under a prefix.
+/// State of a key, or of all keys under a prefix, at one index.
 #[derive(Clone, Debug)]
-pub struct Watched {
+pub struct Snapshot {
     /// Index to pass to the next watch.
     pub index: u64,
     /// Entries, in the order of their keys.
@@ -105,7 +105,7 @@
 }
 
 impl Store {
-    /// Creates a client of the store at `address` (`ip:port`) whose calls end after `timeout_ms`.
+    /// Creates a client of the store at `address` (`ip:port`); calls time out after `timeout_ms`.
     pub fn new(address: &str, timeout_ms: Millis) -> Self {
         Self {
             address: address.to_owned(),
@@ -117,64 +117,64 @@
     ///
     /// # Errors
     ///
-    /// When the store gives no answer.
+    /// When the store does not answer.
     pub async fn get(&self, key: &str) -> Result<Option<Entry>, StoreError> {
         let url = self.url(&format!("kv/{key}"));
         let response = self.send(self.http.client().get(url)).await?;
-        Ok(self.entries(response).await?.entries.pop())
+        Ok(self.decode_entries(response).await?.entries.pop())
     }
 
     /// Reads all keys that start with `prefix`.
     ///
     /// # Errors
     ///
-    /// When the store gives no answer.
+    /// When the store does not answer.
     pub async fn list(&self, prefix: &str) -> Result<Vec<Entry>, StoreError> {
         let url = self.url(&format!("kv/{prefix}?recurse=true"));
         let response = self.send(self.http.client().get(url)).await?;
-        Ok(self.entries(response).await?.entries)
+        Ok(self.decode_entries(response).await?.entries)
     }
 
-    /// Waits at most `wait_ms` until the newest change of `key` is above `index`, then reads it.
+    /// Waits up to `wait_ms` until the index of `key` exceeds `index`, then reads the key.
     ///
     /// # Errors
     ///
-    /// When the store gives no answer.
+    /// When the store does not answer.
     pub async fn watch(
         &self,
         key: &str,
         index: u64,
         wait_ms: Millis,
-    ) -> Result<Watched, StoreError> {
+    ) -> Result<Snapshot, StoreError> {
         let url = self.url(&format!("kv/{key}?index={index}&wait={wait_ms}ms"));
-        let limit = Duration::from_millis(wait_ms + WATCH_MARGIN_MS);
-        let call = self.http.client().get(url).timeout(limit).send();
+        let timeout = Duration::from_millis(wait_ms + WATCH_MARGIN_MS);
+        let call = self.http.client().get(url).timeout(timeout).send();
         let response = match call.await {
             Ok(response) => response,
             Err(error) => {
                 if error.is_timeout() {
-                    self.http.retire();
+                    self.http.replace_pool();
                 }
                 return Err(self.unreachable(describe(&error)));
             }
         };
-        self.entries(response).await
+        self.decode_entries(response).await
     }
 
-    /// Sets `key` if its newest change is `index`; index 0 requires that it is absent.
+    /// Sets `key` if its last change has the index `index`; index 0 requires that it is absent.
     ///
     /// # Errors
     ///
-    /// When the store gives no answer; see [`StoreError`] for whether it may have taken effect.
+    /// When the store does not answer; [`StoreError`] shows whether the call may have taken effect.
     pub async fn cas(&self, key: &str, value: Vec<u8>, index: u64) -> Result<bool, StoreError> {
         self.put(&format!("kv/{key}?cas={index}"), value).await
     }
 
-    /// Locks `key` for `session` and sets its value; false if another session holds it.
+    /// Locks `key` for `session` and sets its value; false if another session holds the lock.
     ///
     /// # Errors
     ///
-    /// When the store gives no answer; see [`StoreError`] for whether it may have taken effect.
+    /// When the store does not answer; [`StoreError`] shows whether the call may have taken effect.
     pub async fn acquire(
         &self,
         key: &str,
@@ -185,11 +185,11 @@
             .await
     }
 
-    /// Unlocks `key` if `session` holds it, and sets its value.
+    /// Unlocks `key` if `session` holds the lock, and sets its value.
     ///
     /// # Errors
     ///
-    /// When the store gives no answer; see [`StoreError`] for whether it may have taken effect.
+    /// When the store does not answer; [`StoreError`] shows whether the call may have taken effect.
     pub async fn release(
         &self,
         key: &str,
@@ -204,41 +204,50 @@
     ///
     /// # Errors
     ///
-    /// When the store gives no answer; see [`StoreError`] for whether it may have taken effect.
+    /// When the store does not answer; [`StoreError`] shows whether the call may have taken effect.
     pub async fn delete_tree(&self, prefix: &str) -> Result<(), StoreError> {
         let url = self.url(&format!("kv/{prefix}?recurse=true"));
         self.send(self.http.client().delete(url)).await?;
         Ok(())
     }
 
-    /// Applies all of `ops`, or none.
+    /// Applies all of `ops` atomically, or none.
     ///
     /// # Errors
     ///
-    /// When the store gives no answer; see [`StoreError`] for whether it may have taken effect.
+    /// When the store does not answer; [`StoreError`] shows whether the call may have taken effect.
     pub async fn transact(&self, ops: &[Op]) -> Result<Txn, StoreError> {
         let wire: Vec<WireOp<'_>> = ops.iter().map(wire_op).collect();
         let request = self.http.client().put(self.url("txn")).json(&wire);
         let response = match self.http.send(request).await {
             Ok(response) if response.status() == StatusCode::CONFLICT => response,
-            Ok(response) => self.check(response).await?,
-            Err(error) => return Err(self.failed(error)),
+            Ok(response) => self.check_status(response).await?,
+            Err(error) => return Err(self.call_failure(error)),
         };
-        let txn: WireTxn = self.body(response).await?;
-        let failed: Vec<usize> = txn.errors.iter().flatten().map(|e| e.op_index).collect();
+        let txn: WireTxn = self.decode_body(response).await?;
+        let failed: Vec<usize> = txn
+            .errors
+            .iter()
+            .flatten()
+            .map(|error| error.op_index)
+            .collect();
         if !failed.is_empty() {
             return Ok(Txn::Conflict { failed });
         }
-        let indices = txn.results.iter().flatten().filter_map(|r| r.kv.as_ref());
+        let indices = txn
+            .results
+            .iter()
+            .flatten()
+            .filter_map(|result| result.kv.as_ref());
         let index = indices.map(|kv| kv.modify_index).max().unwrap_or(0);
         Ok(Txn::Committed { index })
     }
 
-    /// Creates a session that lapses `ttl_ms` after its last renewal; returns its identity.
+    /// Creates a session that lapses `ttl_ms` after its last renewal; returns its ID.
     ///
     /// # Errors
     ///
-    /// When the store gives no answer; a session that was made all the same lapses by itself.
+    /// When the store does not answer; a session that it created nevertheless lapses by itself.
     pub async fn create_session(&self, name: &str, ttl_ms: Millis) -> Result<String, StoreError> {
         let body = WireSession {
             name,
@@ -252,7 +261,7 @@
             .put(self.url("session/create"))
             .json(&body);
         let response = self.send(request).await?;
-        let session: WireSessionId = self.body(response).await?;
+        let session: WireSessionId = self.decode_body(response).await?;
         Ok(session.id)
     }
 
@@ -260,21 +269,21 @@
     ///
     /// # Errors
     ///
-    /// When the store gives no answer.
+    /// When the store does not answer.
     pub async fn renew_session(&self, session: &str) -> Result<bool, StoreError> {
         let url = self.url(&format!("session/renew/{session}"));
         match self.http.send(self.http.client().put(url)).await {
             Ok(response) if response.status() == StatusCode::NOT_FOUND => Ok(false),
-            Ok(response) => self.check(response).await.map(|_| true),
-            Err(error) => Err(self.failed(error)),
+            Ok(response) => self.check_status(response).await.map(|_| true),
+            Err(error) => Err(self.call_failure(error)),
         }
     }
 
-    /// Ends a session and unlocks its keys.
+    /// Ends a session, which unlocks its keys.
     ///
     /// # Errors
     ///
-    /// When the store gives no answer.
+    /// When the store does not answer.
     pub async fn destroy_session(&self, session: &str) -> Result<(), StoreError> {
         let url = self.url(&format!("session/destroy/{session}"));
         self.send(self.http.client().put(url)).await?;
@@ -288,18 +297,18 @@
     async fn put(&self, path: &str, value: Vec<u8>) -> Result<bool, StoreError> {
         let request = self.http.client().put(self.url(path)).body(value);
         let response = self.send(request).await?;
-        self.body(response).await
+        self.decode_body(response).await
     }
 
     async fn send(&self, request: RequestBuilder) -> Result<Response, StoreError> {
         match self.http.send(request).await {
             Ok(response) if response.status() == StatusCode::NOT_FOUND => Ok(response),
-            Ok(response) => self.check(response).await,
-            Err(error) => Err(self.failed(error)),
+            Ok(response) => self.check_status(response).await,
+            Err(error) => Err(self.call_failure(error)),
         }
     }
 
-    async fn check(&self, response: Response) -> Result<Response, StoreError> {
+    async fn check_status(&self, response: Response) -> Result<Response, StoreError> {
         let status = response.status();
         if status.is_success() {
             return Ok(response);
@@ -316,7 +325,7 @@
         }
     }
 
-    async fn entries(&self, response: Response) -> Result<Watched, StoreError> {
+    async fn decode_entries(&self, response: Response) -> Result<Snapshot, StoreError> {
         let index = response
             .headers()
             .get("X-Consul-Index")
@@ -324,16 +333,16 @@
             .unwrap_or(0);
         if response.status() == StatusCode::NOT_FOUND {
             let entries = Vec::new();
-            return Ok(Watched { index, entries });
+            return Ok(Snapshot { index, entries });
         }
-        let response = self.check(response).await?;
-        let wire: Vec<WireEntry> = self.body(response).await?;
-        let entries = wire.into_iter().map(|entry| self.entry(entry));
+        let response = self.check_status(response).await?;
+        let wire: Vec<WireEntry> = self.decode_body(response).await?;
+        let entries = wire.into_iter().map(|entry| self.decode_entry(entry));
         let entries = entries.collect::<Result<_, _>>()?;
-        Ok(Watched { index, entries })
+        Ok(Snapshot { index, entries })
     }
 
-    fn entry(&self, wire: WireEntry) -> Result<Entry, StoreError> {
+    fn decode_entry(&self, wire: WireEntry) -> Result<Entry, StoreError> {
         let value = BASE64
             .decode(wire.value.unwrap_or_default())
             .map_err(|error| self.malformed(&error))?;
@@ -346,7 +355,7 @@
         })
     }
 
-    async fn body<T: serde::de::DeserializeOwned>(
+    async fn decode_body<T: serde::de::DeserializeOwned>(
         &self,
         response: Response,
     ) -> Result<T, StoreError> {
@@ -354,7 +363,7 @@
             Ok(bytes) => bytes,
             Err(error) => {
                 if error.is_timeout() {
-                    self.http.retire();
+                    self.http.replace_pool();
                 }
                 return Err(self.unanswered(describe(&error)));
             }
@@ -362,7 +371,7 @@
         serde_json::from_slice(&bytes).map_err(|error| self.malformed(&error))
     }
 
-    fn failed(&self, error: CallError) -> StoreError {
+    fn call_failure(&self, error: CallError) -> StoreError {
         match error {
             CallError::NotSent(reason) => self.unreachable(reason),
             CallError::Unanswered(reason) => self.unanswered(reason),
--- a/crates/verbenahitch/src/adapter/worker.rs
+++ b/crates/verbenahitch/src/adapter/worker.rs
@@ -7,7 +7,7 @@
 use crate::domain::Millis;
 use crate::port::{SyncError, SyncReply, SyncRequest};
 
-/// Client of all workers; clones share its connections.
+/// Client for the task interface of every worker; clones share its connections.
 #[derive(Clone, Debug)]
 pub struct Workers {
     http: Http,
@@ -24,18 +24,18 @@
 }
 
 impl Workers {
-    /// Creates a client whose calls end after `timeout_ms`.
+    /// Creates a client whose calls time out after `timeout_ms`.
     pub fn new(timeout_ms: Millis) -> Self {
         Self {
             http: Http::new(timeout_ms),
         }
     }
 
-    /// Carries one sync to the worker at `address` (`ip:port`).
+    /// Sends one sync to the worker at `address` (`ip:port`).
     ///
     /// # Errors
     ///
-    /// When the worker refuses the call or gives no answer; see [`SyncError`].
+    /// When the worker refuses the call or does not answer; see [`SyncError`].
     pub async fn sync(&self, address: &str, request: &SyncRequest) -> Result<SyncReply, SyncError> {
         let url = format!("http://{address}/v1/sync");
         let call = self.http.client().post(url).json(request);
@@ -46,7 +46,7 @@
         let status = response.status();
         let bytes = response.bytes().await.map_err(|error| {
             if error.is_timeout() {
-                self.http.retire();
+                self.http.replace_pool();
             }
             unanswered(describe(&error))
         })?;
--- a/crates/verbenahitch/src/config/adopt.rs
+++ b/crates/verbenahitch/src/config/adopt.rs
@@ -1,11 +1,11 @@
-//! Putting newer declarations in force.
+//! Puts newer declarations in force and logs the change.
 
 use std::sync::Arc;
 
 use super::{Current, Declarations};
 use crate::event::{Entry, Kind};
 
-/// Puts `next` in force unless what is in force is as new; says whether it did.
+/// Puts `next` in force if its revision is newer; returns whether it was.
 pub fn adopt(current: &Current, next: Declarations, source: &str) -> bool {
     let revision = next.revision;
     let adopted = current.advance(Arc::new(next));
@@ -18,11 +18,11 @@
     adopted
 }
 
-/// Parses a document and puts it in force unless what is in force is as new.
+/// Parses a document and puts it in force if its revision is newer; returns whether it was.
 ///
 /// # Errors
 ///
-/// When the document is malformed; it is logged and changes nothing.
+/// When the document is malformed; the error is logged and the declarations in force stay.
 pub fn adopt_text(
     current: &Current,
     document: &str,
--- a/crates/verbenahitch/src/config/change.rs
+++ b/crates/verbenahitch/src/config/change.rs
@@ -1,9 +1,9 @@
-//! Changing the declarations in the store.
+//! Changes of the declarations in the store.
 //!
-//! A change is one transaction: compare-and-swap of the document, and a note of
-//! the new revision with the unique identity of the write. When the answer is
-//! lost, the note tells whether the write took effect, also if another change
-//! came after it.
+//! A change is one transaction: a compare-and-swap of the document, and a change
+//! record under the new revision that holds the unique write ID. When the answer
+//! is lost, the change record shows whether the write took effect, even after
+//! later changes.
 
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
@@ -12,20 +12,20 @@
 use crate::adapter::Store;
 use crate::port::{Entry, Op, StoreError, Txn};
 
-/// Attempts at one write whose answer is lost.
-const ATTEMPTS: u32 = 4;
+/// Attempts at one write while its outcome is unknown.
+const MAX_WRITE_ATTEMPTS: u32 = 4;
 
-/// Attempts at one edit that loses races which do not concern it.
-const RACES: u32 = 8;
+/// Attempts at one edit that conflicts with unrelated changes.
+const MAX_EDIT_ATTEMPTS: u32 = 8;
 
-/// Revisions whose notes are kept.
-const KEPT_NOTES: u64 = 1_000;
+/// Number of newest revisions whose change records are kept.
+const KEPT_CHANGE_RECORDS: u64 = 1_000;
 
 /// Who makes a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Author {
-    /// Unique identity of the write.
+    /// Unique ID of the write.
     pub write_id: String,
     /// Name of the operator.
     pub operator: String,
@@ -34,37 +34,37 @@
 /// Why a change was not made, or may not have been.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 pub enum ChangeError {
-    /// The document has faults; nothing was written.
-    #[snafu(display("{}", listed(faults)))]
+    /// The document is invalid; nothing was written.
+    #[snafu(display("{}", fault_lines(faults)))]
     Faulty {
         /// All faults.
         faults: Vec<Fault>,
     },
-    /// The declarations moved on; nothing was written.
+    /// Another change was accepted since revision `from`; nothing was written.
     #[snafu(display(
-        "the change was made from revision {from}, but revision {} is accepted already",
+        "the change is based on revision {from}, but revision {} has been accepted since",
         newer.revision
     ))]
     Stale {
-        /// Revision that the change was made from.
+        /// Revision that the change is based on.
         from: u64,
-        /// What is accepted.
+        /// Accepted declarations.
         newer: Box<Declarations>,
     },
     /// The availability zone is not declared; nothing was written.
     #[snafu(display("zone {zone:?} is not declared"))]
     UnknownZone {
-        /// Name that was asked for.
+        /// Requested name.
         zone: String,
     },
-    /// The store took nothing; nothing was written.
+    /// The store failed, or every attempt met a conflict; nothing was written.
     #[snafu(display("not changed: {reason}"))]
     Unavailable {
         /// Why.
         reason: String,
     },
-    /// The change may or may not have been accepted.
-    #[snafu(display("it is not known whether the change was accepted: {reason}"))]
+    /// The outcome is unknown: the change may have been accepted.
+    #[snafu(display("it is unknown whether the change was accepted: {reason}"))]
     Unclear {
         /// Why.
         reason: String,
@@ -80,9 +80,9 @@
 ///
 /// # Errors
 ///
-/// When the store gives no answer, or holds a malformed document.
+/// When the store does not answer, or holds a malformed document.
 pub async fn read(store: &Store) -> Result<Declarations, ChangeError> {
-    Ok(stored(store).await?.declarations)
+    Ok(read_stored(store).await?.declarations)
 }
 
 /// Accepts `document` as the successor of revision `from`; returns it as accepted.
@@ -100,7 +100,7 @@
     if !faults.is_empty() {
         return Err(ChangeError::Faulty { faults });
     }
-    let stored = stored(store).await?;
+    let stored = read_stored(store).await?;
     if stored.declarations.revision != from {
         let newer = Box::new(stored.declarations);
         return Err(ChangeError::Stale { from, newer });
@@ -117,9 +117,9 @@
     write(store, next, stored.index, author).await
 }
 
-/// Puts an availability zone in or out of service; returns what is accepted then.
+/// Puts an availability zone in or out of service; returns the accepted declarations.
 ///
-/// Changes of others that leave the zone alone do not stop this one.
+/// After a conflict with a change that does not concern the zone, it tries again.
 ///
 /// # Errors
 ///
@@ -130,31 +130,31 @@
     state: ZoneState,
     author: &Author,
 ) -> Result<Declarations, ChangeError> {
-    let mut seen = None;
-    let mut race = None;
-    for _ in 0..RACES {
+    let mut expected = None;
+    let mut conflict = None;
+    for _ in 0..MAX_EDIT_ATTEMPTS {
         let mut next = read(store).await?;
         let Some(declared) = next.zones.get_mut(zone) else {
             let zone = zone.to_owned();
             return Err(ChangeError::UnknownZone { zone });
         };
-        if let Some(error) = race.take()
-            && seen != Some(*declared)
+        if let Some(error) = conflict.take()
+            && expected != Some(*declared)
         {
             return Err(error);
         }
         if declared.state == state {
             return Ok(next);
         }
-        seen = Some(*declared);
+        expected = Some(*declared);
         declared.state = state;
         let from = next.revision;
         match apply(store, next, from, author).await {
-            Err(error @ ChangeError::Stale { .. }) => race = Some(error),
+            Err(error @ ChangeError::Stale { .. }) => conflict = Some(error),
             other => return other,
         }
     }
-    let reason = format!("{RACES} other changes came first");
+    let reason = format!("{MAX_EDIT_ATTEMPTS} conflicts with other changes in a row");
     Err(ChangeError::Unavailable { reason })
 }
 
@@ -166,51 +166,52 @@
 ) -> Result<Declarations, ChangeError> {
     let from = next.revision - 1;
     let ops = operations(&next, index, author);
-    let mut unclear = None;
-    for _ in 0..ATTEMPTS {
+    let mut lost_answer = None;
+    for _ in 0..MAX_WRITE_ATTEMPTS {
         match store.transact(&ops).await {
             Ok(Txn::Committed { .. }) => return Ok(next),
             Ok(Txn::Conflict { .. }) => {
-                return resolve(store, next, from, author, unclear).await;
+                return resolve_conflict(store, next, from, author, lost_answer).await;
             }
-            Err(StoreError::Unanswered { reason, .. }) => unclear = Some(reason),
-            Err(error) if unclear.is_none() => {
+            Err(StoreError::Unanswered { reason, .. }) => lost_answer = Some(reason),
+            Err(error) if lost_answer.is_none() => {
                 let reason = error.to_string();
                 return Err(ChangeError::Unavailable { reason });
             }
             Err(_) => {}
         }
     }
-    let reason = unclear.unwrap_or_default();
+    let reason = lost_answer.unwrap_or_default();
     Err(ChangeError::Unclear { reason })
 }
 
-/// Tells whose write made the revision that this one was to make.
-async fn resolve(
+/// Determines whether this write itself caused the conflict, by an earlier
+/// attempt whose answer was lost, or another change did.
+async fn resolve_conflict(
     store: &Store,
     next: Declarations,
     from: u64,
     author: &Author,
-    unclear: Option<String>,
+    lost_answer: Option<String>,
 ) -> Result<Declarations, ChangeError> {
-    let failed = |error: String| match unclear.clone() {
+    let failure = |error: String| match lost_answer.clone() {
         Some(_) => ChangeError::Unclear { reason: error },
         None => ChangeError::Unavailable { reason: error },
     };
-    let note = store.get(&note_key(next.revision)).await;
-    let note = note.map_err(|error| failed(error.to_string()))?;
-    let maker = note.and_then(|note| serde_json::from_slice::<Author>(&note.value).ok());
-    if maker.is_some_and(|maker| maker.write_id == author.write_id) {
+    let record = store.get(&change_record_key(next.revision)).await;
+    let record = record.map_err(|error| failure(error.to_string()))?;
+    let winner = record.and_then(|record| serde_json::from_slice::<Author>(&record.value).ok());
+    if winner.is_some_and(|winner| winner.write_id == author.write_id) {
         return Ok(next);
     }
     let newer = read(store).await;
-    let newer = Box::new(newer.map_err(|error| failed(error.to_string()))?);
+    let newer = Box::new(newer.map_err(|error| failure(error.to_string()))?);
     Err(ChangeError::Stale { from, newer })
 }
 
 fn operations(next: &Declarations, index: u64, author: &Author) -> Vec<Op> {
     let bytes = |value: serde_json::Result<Vec<u8>>| {
-        value.expect("declarations and authors always have a JSON form")
+        value.expect("declarations and authors can always be serialized as JSON")
     };
     let mut ops = vec![
         Op::Cas {
@@ -219,23 +220,23 @@
             index,
         },
         Op::Cas {
-            key: note_key(next.revision),
+            key: change_record_key(next.revision),
             value: bytes(serde_json::to_vec(author)),
             index: 0,
         },
     ];
-    if let Some(old) = next.revision.checked_sub(KEPT_NOTES) {
-        let key = note_key(old);
+    if let Some(oldest) = next.revision.checked_sub(KEPT_CHANGE_RECORDS) {
+        let key = change_record_key(oldest);
         ops.push(Op::Delete { key });
     }
     ops
 }
 
-fn note_key(revision: u64) -> String {
+fn change_record_key(revision: u64) -> String {
     format!("verbenahitch/changes/{revision}")
 }
 
-async fn stored(store: &Store) -> Result<Stored, ChangeError> {
+async fn read_stored(store: &Store) -> Result<Stored, ChangeError> {
     let unavailable = |reason: String| ChangeError::Unavailable { reason };
     let entry = store.get(DECLARATIONS_KEY).await;
     let entry = entry.map_err(|error| unavailable(error.to_string()))?;
@@ -254,7 +255,9 @@
     })
 }
 
-fn listed(faults: &[Fault]) -> String {
-    let lines = faults.iter().map(|f| format!("{}: {}", f.path, f.reason));
+fn fault_lines(faults: &[Fault]) -> String {
+    let lines = faults
+        .iter()
+        .map(|fault| format!("{}: {}", fault.path, fault.reason));
     lines.collect::<Vec<_>>().join("\n")
 }
--- a/crates/verbenahitch/src/config/current.rs
+++ b/crates/verbenahitch/src/config/current.rs
@@ -1,4 +1,4 @@
-//! The revision in force in this process, read without a lock.
+//! The declarations in force in this process, read without a lock.
 
 use std::sync::Arc;
 
@@ -10,15 +10,15 @@
 /// Declarations in force in this process; clones share them.
 #[derive(Clone, Debug)]
 pub struct Current {
-    newest: Arc<ArcSwap<Declarations>>,
-    changed: Arc<watch::Sender<u64>>,
+    declarations: Arc<ArcSwap<Declarations>>,
+    revision_sender: Arc<watch::Sender<u64>>,
 }
 
 impl Default for Current {
     fn default() -> Self {
         Self {
-            newest: Arc::new(ArcSwap::from_pointee(Declarations::default())),
-            changed: Arc::new(watch::channel(0).0),
+            declarations: Arc::new(ArcSwap::from_pointee(Declarations::default())),
+            revision_sender: Arc::new(watch::channel(0).0),
         }
     }
 }
@@ -26,24 +26,24 @@
 impl Current {
     /// Declarations in force.
     pub fn load(&self) -> Arc<Declarations> {
-        self.newest.load_full()
+        self.declarations.load_full()
     }
 
-    /// Puts `next` in force unless the one in force is as new; says whether it did.
+    /// Puts `next` in force if its revision is newer; returns whether it was.
     pub fn advance(&self, next: Arc<Declarations>) -> bool {
         let revision = next.revision;
-        self.changed.send_if_modified(|held| {
-            if revision <= *held {
+        self.revision_sender.send_if_modified(|current| {
+            if revision <= *current {
                 return false;
             }
-            self.newest.store(next);
-            *held = revision;
+            self.declarations.store(next);
+            *current = revision;
             true
         })
     }
 
-    /// Receiver that sees each new revision.
+    /// Receiver that is notified of new revisions.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
-        self.changed.subscribe()
+        self.revision_sender.subscribe()
     }
 }
--- a/crates/verbenahitch/src/config/declarations.rs
+++ b/crates/verbenahitch/src/config/declarations.rs
@@ -1,4 +1,4 @@
-//! The document that operators keep in version control and apply.
+//! The declarations: the document that operators keep in version control and apply.
 
 use std::collections::BTreeMap;
 
@@ -10,14 +10,14 @@
 /// Key of the declarations in the store.
 pub const DECLARATIONS_KEY: &str = "verbenahitch/declarations";
 
-/// Everything that operators declare, under one revision.
+/// All declarations of the operators, under one revision.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Declarations {
     /// Number of the accepted change; zero before the first.
     #[serde(default)]
     pub revision: u64,
-    /// Unique identity of the write that brought this revision.
+    /// Unique ID of the write that created this revision.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub write_id: String,
     /// Profiles by name.
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Kind {
-    /// Start of the request path, such as `/price-push`.
+    /// Prefix of the request path, such as `/price-push`.
     pub path: String,
     /// Profile that requests of the kind run under.
     pub profile: String,
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Team {
-    /// What the team's running tasks may commit over all availability zones.
+    /// Resources that the team's running tasks may commit over all availability zones.
     pub quota: Resources,
     /// Hexadecimal SHA-256 digest of the team's bearer token.
     pub token_digest: String,
@@ -60,7 +60,7 @@
 pub enum ZoneState {
     /// In service.
     In,
-    /// Taken out: starts nothing and hands its tasks over.
+    /// Out of service: starts no tasks and hands its tasks over to other zones.
     Out,
 }
 
@@ -73,7 +73,7 @@
     /// Number of shards that its workers are divided into, from 1 to 64.
     #[serde(default = "one")]
     pub shards: u32,
-    /// Time over which a returning zone is filled, in milliseconds.
+    /// Time over which the workers of a returning zone start to take tasks again, in milliseconds.
     #[serde(default = "default_ramp")]
     pub ramp_ms: Millis,
 }
@@ -86,7 +86,7 @@
     30_000
 }
 
-/// One fault of a document.
+/// One fault in a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
     /// Path of the key, such as `profiles.quote.worth`.
@@ -96,23 +96,23 @@
 }
 
 impl Declarations {
-    /// Request kind whose path is the longest start of `path`, with its name.
+    /// Request kind with the longest path that is a prefix of `path`, with its name.
     pub fn kind_of(&self, path: &str) -> Option<(&str, &Kind)> {
         self.kinds
             .iter()
-            .filter(|(_, kind)| covers(&kind.path, path))
+            .filter(|(_, kind)| is_path_prefix(&kind.path, path))
             .max_by_key(|(_, kind)| kind.path.len())
             .map(|(name, kind)| (name.as_str(), kind))
     }
 
-    /// Whether the zone is declared and takes work.
+    /// Whether the zone is declared and in service.
     pub fn is_in(&self, zone: &str) -> bool {
         self.zones
             .get(zone)
             .is_some_and(|zone| zone.state == ZoneState::In)
     }
 
-    /// All shards of all zones, whether in service or not.
+    /// All shards of all zones, both in and out of service.
     pub fn shards(&self) -> impl Iterator<Item = ShardId> {
         self.zones.iter().flat_map(|(name, zone)| {
             (0..zone.shards).map(|index| ShardId {
@@ -122,7 +122,7 @@
         })
     }
 
-    /// All faults of the document, in the order of its keys.
+    /// All faults in the document, in the order of its keys.
     pub fn faults(&self) -> Vec<Fault> {
         let mut faults = Vec::new();
         for (name, profile) in &self.profiles {
@@ -131,11 +131,11 @@
         for (name, kind) in &self.kinds {
             if !self.profiles.contains_key(&kind.profile) {
                 let reason = format!("profile {:?} is not declared", kind.profile);
-                push(&mut faults, format!("kinds.{name}.profile"), reason);
+                push_fault(&mut faults, format!("kinds.{name}.profile"), reason);
             }
             if !kind.path.starts_with('/') {
                 let reason = format!("found {:?}, a path starts with /", kind.path);
-                push(&mut faults, format!("kinds.{name}.path"), reason);
+                push_fault(&mut faults, format!("kinds.{name}.path"), reason);
             }
         }
         for (name, team) in &self.teams {
@@ -144,36 +144,38 @@
                 .bytes()
                 .all(|byte| byte.is_ascii_hexdigit());
             if team.token_digest.len() != 64 || !hex {
-                let reason = "a SHA-256 digest has 64 hexadecimal digits".to_owned();
-                push(&mut faults, format!("teams.{name}.token-digest"), reason);
+                let reason =
+                    "is not a SHA-256 digest, allowed are 64 hexadecimal digits".to_owned();
+                push_fault(&mut faults, format!("teams.{name}.token-digest"), reason);
             }
         }
         for (name, zone) in &self.zones {
             if !(1..=64).contains(&zone.shards) {
                 let reason = format!("found {}, allowed are 1 to 64", zone.shards);
-                push(&mut faults, format!("zones.{name}.shards"), reason);
+                push_fault(&mut faults, format!("zones.{name}.shards"), reason);
             }
         }
         faults
     }
 
-    /// Faults that `next` has as the successor of this document.
+    /// Faults in `next` as the successor of this document.
     ///
-    /// Jobs belong to shards for good, so a shard that may hold jobs has to stay.
+    /// A job belongs to its shard permanently, so a shard that may hold jobs must
+    /// not be removed.
     pub fn succession_faults(&self, next: &Self) -> Vec<Fault> {
         let mut faults = Vec::new();
         for (name, zone) in &self.zones {
             match next.zones.get(name) {
                 None => {
-                    let reason = "a declared zone is taken out, not left out".to_owned();
-                    push(&mut faults, format!("zones.{name}"), reason);
+                    let reason = "a declared zone cannot be removed, only set to out".to_owned();
+                    push_fault(&mut faults, format!("zones.{name}"), reason);
                 }
                 Some(after) if after.shards < zone.shards => {
                     let reason = format!(
-                        "found {}, allowed is at least the {} that may hold jobs",
+                        "found {}, allowed is at least {}, as each shard may hold jobs",
                         after.shards, zone.shards
                     );
-                    push(&mut faults, format!("zones.{name}.shards"), reason);
+                    push_fault(&mut faults, format!("zones.{name}.shards"), reason);
                 }
                 Some(_) => {}
             }
@@ -182,9 +184,9 @@
     }
 
     fn profile_faults(&self, name: &str, profile: &Profile, faults: &mut Vec<Fault>) {
-        let mut check = |fine: bool, key: &str, reason: String| {
-            if !fine {
-                push(faults, format!("profiles.{name}.{key}"), reason);
+        let mut check = |valid: bool, key: &str, reason: String| {
+            if !valid {
+                push_fault(faults, format!("profiles.{name}.{key}"), reason);
             }
         };
         check(
@@ -223,17 +225,17 @@
         check(
             profile.resources.millicores > 0 && profile.resources.memory_mib > 0,
             "resources",
-            "a task needs processors and memory above zero".to_owned(),
+            "found zero millicores or memory-mib, allowed are values above zero".to_owned(),
         );
     }
 }
 
-fn covers(prefix: &str, path: &str) -> bool {
+fn is_path_prefix(prefix: &str, path: &str) -> bool {
     path.strip_prefix(prefix)
         .is_some_and(|rest| rest.is_empty() || rest.starts_with('/') || prefix.ends_with('/'))
 }
 
-fn push(faults: &mut Vec<Fault>, path: String, reason: String) {
+fn push_fault(faults: &mut Vec<Fault>, path: String, reason: String) {
     faults.push(Fault { path, reason });
 }
 
--- a/crates/verbenahitch/src/config/diff.rs
+++ b/crates/verbenahitch/src/config/diff.rs
@@ -7,14 +7,14 @@
 
 use super::Declarations;
 
-/// One key that differs.
+/// One key whose value differs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
     /// Path of the key, such as `profiles.quote.worth`.
     pub path: String,
-    /// Value before, if the key was there.
+    /// Value before the change; `None` if the key was absent.
     pub before: Option<Value>,
-    /// Value after, if the key is there.
+    /// Value after the change; `None` if the key is absent.
     pub after: Option<Value>,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Keys in which `after` differs from `before`; revision and write identity do not count.
+/// Keys whose values differ between `before` and `after`, except the revision and the write ID.
 pub fn diff(before: &Declarations, after: &Declarations) -> Vec<Change> {
     let (before, after) = (leaves(before), leaves(after));
     let mut paths: Vec<&String> = before.keys().chain(after.keys()).collect();
@@ -50,13 +50,13 @@
 fn leaves(declarations: &Declarations) -> BTreeMap<String, Value> {
     let value = serde_json::to_value(declarations).unwrap_or(Value::Null);
     let mut leaves = BTreeMap::new();
-    collect("", &value, &mut leaves);
+    collect_leaves("", &value, &mut leaves);
     leaves.remove("revision");
     leaves.remove("write-id");
     leaves
 }
 
-fn collect(path: &str, value: &Value, leaves: &mut BTreeMap<String, Value>) {
+fn collect_leaves(path: &str, value: &Value, leaves: &mut BTreeMap<String, Value>) {
     let Value::Object(object) = value else {
         leaves.insert(path.to_owned(), value.clone());
         return;
@@ -67,6 +67,6 @@
         } else {
             format!("{path}.{key}")
         };
-        collect(&path, inner, leaves);
+        collect_leaves(&path, inner, leaves);
     }
 }
--- a/crates/verbenahitch/src/config/mod.rs
+++ b/crates/verbenahitch/src/config/mod.rs
@@ -1,5 +1,5 @@
 //! Declarations of the operators: profiles, request kinds, teams and
-//! availability zones, ordered by one revision.
+//! availability zones, under one revision number that grows with each change.
 
 mod adopt;
 pub mod change;
@@ -15,4 +15,4 @@
     DECLARATIONS_KEY, Declarations, Fault, Kind, Team, Zone, ZoneState, token_digest,
 };
 pub use diff::{Change, diff};
-pub use permit::{Ground, Permit, Proof};
+pub use permit::{Permit, Proof, ProofSource};
--- a/crates/verbenahitch/src/config/permit.rs
+++ b/crates/verbenahitch/src/config/permit.rs
@@ -1,17 +1,19 @@
-//! Permit to start tasks of an availability zone.
+//! Permit to start tasks in an availability zone.
 //!
-//! A permit lapses `permit-ms` after an instant at which the zone was certainly
-//! not known to be out of service. It rests on one of three kinds of evidence:
+//! A permit lapses `permit-ms` after the latest instant at which the zone was
+//! provably not known to be out of service. There are three kinds of proof:
 //!
-//! * the store answered a read of the declarations that was sent then;
-//! * a peer said that the store had answered its own read, and which revision
-//!   it had in force; the instant is that of the peer's read;
-//! * the store is down for everybody: all processes that are heard said so, and
-//!   at least one of every other declared availability zone is among them. A
-//!   change that an unheard zone accepted could not be excluded otherwise. The
-//!   instant is that of the oldest of these words.
+//! * The store answered a read of the declarations by this process; the instant
+//!   is the sending time of the read.
+//! * A peer reported that the store answered the peer's own read, and which
+//!   revision it had in force; the instant is that of the peer's read.
+//! * The store is unreachable for all processes: every live process reported so,
+//!   and at least one of every other declared availability zone is among them.
+//!   Otherwise a change accepted through a zone without a live process could not
+//!   be ruled out. The instant is that of the oldest of these reports.
 //!
-//! In each case this process must have in force what the witness had.
+//! A peer's report counts only if its revision is not newer than the one in
+//! force in this process.
 
 use super::Declarations;
 use crate::domain::{Millis, Monotonic};
@@ -19,23 +21,23 @@
 use crate::membership::Testimony;
 use crate::peer::Evidence;
 
-/// What a permit rests on.
+/// Origin of a proof.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ground {
-    /// The store answered this process.
+pub enum ProofSource {
+    /// The store answered a read of this process.
     Store,
-    /// The store answered a peer.
+    /// The store answered a read of the named peer.
     Peer(String),
-    /// The store answers nobody.
+    /// No process can reach the store.
     Outage,
 }
 
-/// Evidence that a zone was in service at an instant.
+/// Proof that a zone was not known to be out of service at an instant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Proof {
-    /// What it rests on.
-    pub ground: Ground,
-    /// Instant.
+    /// Origin.
+    pub source: ProofSource,
+    /// Instant that the proof holds for.
     pub at: Monotonic,
 }
 
@@ -48,7 +50,7 @@
 }
 
 impl Permit {
-    /// Creates a permit that has lapsed and will last `permit_ms` at a time.
+    /// Creates a lapsed permit that each proof extends to `permit_ms` after its instant.
     pub fn new(permit_ms: Millis) -> Self {
         Self {
             permit_ms,
@@ -62,13 +64,13 @@
         self.until
     }
 
-    /// Weighs all evidence at `now` and returns when the permit lapses.
+    /// Evaluates all evidence at `now` and returns the instant at which the permit lapses.
     ///
-    /// `store` is the sending time of this process's newest answered read of the
-    /// declarations, `declarations` is what is in force here.
+    /// `store_contact` is the sending time of this process's newest answered read
+    /// of the declarations; `declarations` are those in force in this process.
     pub fn review(
         &mut self,
-        store: Option<Monotonic>,
+        store_contact: Option<Monotonic>,
         evidence: &Evidence,
         declarations: &Declarations,
         zone: &str,
@@ -78,30 +80,30 @@
             self.until = Monotonic::default();
             return self.until;
         }
-        let witnesses = &evidence.testimonies;
-        let own = store.map(|at| Proof {
-            ground: Ground::Store,
+        let reports = &evidence.testimonies;
+        let own = store_contact.map(|at| Proof {
+            source: ProofSource::Store,
             at,
         });
-        let peers = witnesses
+        let peers = reports
             .iter()
-            .filter_map(|witness| peer_proof(witness, declarations.revision));
-        let outage = self.outage_proof(store, witnesses, declarations, zone, now);
+            .filter_map(|report| peer_proof(report, declarations.revision));
+        let outage = self.outage_proof(store_contact, reports, declarations, zone, now);
         let proofs = own.into_iter().chain(peers).chain(outage);
         if let Some(proof) = proofs.max_by_key(|proof| proof.at) {
-            self.observe(&proof, now);
+            self.extend(&proof, now);
         }
         self.until
     }
 
-    /// Takes one proof into account.
-    pub fn observe(&mut self, proof: &Proof, now: Monotonic) {
+    /// Extends the permit by one proof; never shortens it.
+    pub fn extend(&mut self, proof: &Proof, now: Monotonic) {
         let at = proof.at.min(now);
         self.until = self.until.max(at + self.permit_ms);
     }
 
-    /// Entry to log if the permit has lapsed or was renewed since the last call.
-    pub fn turn(&mut self, zone: &str, now: Monotonic) -> Option<Entry> {
+    /// Log entry if the permit has lapsed or was renewed since the last call.
+    pub fn take_transition(&mut self, zone: &str, now: Monotonic) -> Option<Entry> {
         let lapsed = self.until <= now;
         if lapsed == self.lapsed {
             return None;
@@ -117,42 +119,45 @@
 
     fn outage_proof(
         &self,
-        store: Option<Monotonic>,
-        witnesses: &[Testimony],
+        store_contact: Option<Monotonic>,
+        reports: &[Testimony],
         declarations: &Declarations,
         zone: &str,
         now: Monotonic,
     ) -> Option<Proof> {
         let is_recent = |at: Monotonic| now.since(at) <= self.permit_ms;
-        if store.is_some_and(is_recent) {
+        if store_contact.is_some_and(is_recent) {
             return None;
         }
-        let heard: Vec<&Testimony> = witnesses.iter().filter(|w| is_recent(w.heard)).collect();
+        let live: Vec<&Testimony> = reports
+            .iter()
+            .filter(|report| is_recent(report.heard))
+            .collect();
         let others = declarations.zones.keys().filter(|name| *name != zone);
         for other in others {
-            heard.iter().find(|witness| witness.zone == *other)?;
+            live.iter().find(|report| report.zone == *other)?;
         }
         let mut at = now;
-        for witness in heard {
-            at = at.min(self.denial(witness, declarations.revision)?);
+        for report in live {
+            at = at.min(self.unreachable_at(report, declarations.revision)?);
         }
-        let ground = Ground::Outage;
-        Some(Proof { ground, at })
+        let source = ProofSource::Outage;
+        Some(Proof { source, at })
     }
 
-    /// Instant at which the witness certainly could not reach the store.
-    fn denial(&self, witness: &Testimony, revision: u64) -> Option<Monotonic> {
-        let unreached = witness.store_age_ms.is_none_or(|age| age > self.permit_ms);
-        let known = witness.revision <= revision;
-        witness.proven.filter(|_| unreached && known)
+    /// Instant at which the reporting process provably could not reach the store.
+    fn unreachable_at(&self, report: &Testimony, revision: u64) -> Option<Monotonic> {
+        let unreachable = report.store_age_ms.is_none_or(|age| age > self.permit_ms);
+        let revision_known = report.revision <= revision;
+        report.proven.filter(|_| unreachable && revision_known)
     }
 }
 
-fn peer_proof(witness: &Testimony, revision: u64) -> Option<Proof> {
-    let age = witness.store_age_ms?;
-    let proven = witness.proven.filter(|_| witness.revision <= revision)?;
+fn peer_proof(report: &Testimony, revision: u64) -> Option<Proof> {
+    let age = report.store_age_ms?;
+    let proven = report.proven.filter(|_| report.revision <= revision)?;
     Some(Proof {
-        ground: Ground::Peer(witness.name.clone()),
+        source: ProofSource::Peer(report.name.clone()),
         at: Monotonic(proven.0.checked_sub(age)?),
     })
 }
--- a/crates/verbenahitch/src/port/clock.rs
+++ b/crates/verbenahitch/src/port/clock.rs
@@ -1,13 +1,13 @@
-//! Clocks of a process edge.
+//! Clocks for the code that performs I/O; the decision logic reads none.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 use crate::domain::{Millis, Monotonic};
 
-/// Source of time for a process edge.
+/// Source of time.
 pub trait Clock: Send + Sync {
-    /// Time since an arbitrary origin; never goes back.
+    /// Time since an arbitrary origin; never decreases.
     fn now(&self) -> Monotonic;
 
     /// Wall-clock time in milliseconds since the Unix epoch.
@@ -42,7 +42,7 @@
     }
 }
 
-/// Clock that a test or a replay sets by hand.
+/// Clock that a test or a replay advances explicitly.
 #[derive(Debug, Default)]
 pub struct ManualClock {
     millis: AtomicU64,
--- a/crates/verbenahitch/src/port/dispatch.rs
+++ b/crates/verbenahitch/src/port/dispatch.rs
@@ -1,99 +1,104 @@
-//! The platform as the dispatching sees it: workers' interface, and what
-//! operators and workers write to the key-value service.
+//! The platform's interfaces that the dispatcher uses: calls to workers, and the
+//! entries that operators and workers write to the key-value service.
 
 use crate::dispatch::{CallFailure, Look, Queue, Report, Start, Target, WorkerInfo};
 use crate::domain::Millis;
 
 use super::{Item, KeyValue};
 
-/// Where callers reach a queue.
+/// Host and path under which callers reach a queue.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueueRoute {
-    /// Host that requests name.
+    /// Host name in the requests.
     pub host: String,
-    /// Beginning of the path.
+    /// Prefix of the request path.
     pub prefix: String,
-    /// Queue.
+    /// Queue that the route leads to.
     pub queue: Queue,
 }
 
 /// Queues in force.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Queues {
-    /// Version of the operators' document.
+    /// Version of the operators' document that declares the queues.
     pub version: u64,
     /// Routes.
     pub routes: Vec<QueueRoute>,
 }
 
-/// What an operator's key says.
+/// Content of an entry that operators write.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Directive {
     /// Queues to serve.
     Queues(Queues),
-    /// A zone whose workers are to get nothing.
+    /// Availability zone to evacuate: its workers get no new tasks.
     Evacuate(String),
-    /// A key without meaning here.
+    /// An entry that the dispatcher does not use.
     Other,
 }
 
 /// Calls to the platform.
 #[expect(
     async_fn_in_trait,
-    reason = "the futures stay on the thread of their process edge"
+    reason = "the futures are polled on one thread and need not be Send"
 )]
 pub trait Platform: Clone + 'static {
-    /// Key-value service.
+    /// Client of the key-value service.
     type Kv: KeyValue;
 
-    /// Key-value service.
+    /// Client of the key-value service.
     fn kv(&self) -> &Self::Kv;
 
-    /// Beginning of the keys that workers write.
+    /// Prefix of the keys that workers write.
     fn registry_prefix(&self) -> &'static str;
 
-    /// Beginning of the keys that operators write.
+    /// Prefix of the keys that operators write.
     fn operator_prefix(&self) -> &'static str;
 
-    /// Reads a worker's entry.
+    /// Parses a worker's entry.
     ///
     /// # Errors
     ///
-    /// When the entry names no worker to use.
+    /// When the entry does not describe a usable worker.
     fn worker(&self, item: &Item) -> Result<WorkerInfo, String>;
 
-    /// Reads an operator's key.
+    /// Parses an operator's entry.
     ///
     /// # Errors
     ///
-    /// When it cannot be read.
+    /// When the entry is malformed.
     fn directive(&self, item: &Item) -> Result<Directive, String>;
 
-    /// Extends a worker's leases and reads its lists.
+    /// Extends the leases of a worker's tasks and reads its lists of running and finished runs.
     ///
     /// # Errors
     ///
     /// When the worker refuses or does not answer.
-    async fn look(&self, look: &Look, fence: u64) -> Result<Report, CallFailure>;
+    async fn look(&self, look: &Look, fencing_token: u64) -> Result<Report, CallFailure>;
 
     /// Starts a run; returns the worker's clock.
     ///
     /// # Errors
     ///
     /// When the worker refuses or does not answer.
-    async fn start(&self, start: &Start, fence: u64) -> Result<Millis, CallFailure>;
+    async fn start(&self, start: &Start, fencing_token: u64) -> Result<Millis, CallFailure>;
 
     /// Stops a run; returns the worker's clock.
     ///
     /// # Errors
     ///
     /// When the worker refuses or does not answer.
-    async fn stop(&self, target: &Target, fence: u64) -> Result<Millis, CallFailure>;
+    async fn stop(&self, target: &Target, fencing_token: u64) -> Result<Millis, CallFailure>;
 
-    /// Sets the share of processors of a run in percent; returns the worker's clock.
+    /// Sets the CPU share of a run in percent; returns the worker's clock.
     ///
     /// # Errors
     ///
     /// When the worker refuses or does not answer.
-    async fn pace(&self, target: &Target, percent: u8, fence: u64) -> Result<Millis, CallFailure>;
+    async fn pace(
+        &self,
+        target: &Target,
+        percent: u8,
+        fencing_token: u64,
+    ) -> Result<Millis, CallFailure>;
 }
--- a/crates/verbenahitch/src/port/hosts.rs
+++ b/crates/verbenahitch/src/port/hosts.rs
@@ -1,4 +1,4 @@
-//! The platform's lagging list of workers.
+//! The platform's list of workers, which lags behind their actual state.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,13 +10,13 @@
 pub enum HostState {
     /// In service.
     Live,
-    /// Leaving: takes no new work.
+    /// Shutting down: takes no new work.
     Leaving,
     /// Reported dead.
     Dead,
 }
 
-/// One worker of the list.
+/// Entry of one worker in the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostRecord {
     /// Name of the worker, unique over all availability zones.
@@ -29,9 +29,9 @@
     pub control: String,
     /// Address of the upstream on this worker, as `ip:port`.
     pub upstream: String,
-    /// Requests that the upstream serves at a time.
+    /// Number of requests that the upstream serves concurrently.
     pub slots: u32,
-    /// Size of the worker.
+    /// Resources of the worker.
     pub capacity: Resources,
     /// State as the list shows it.
     pub state: HostState,
--- a/crates/verbenahitch/src/port/kv.rs
+++ b/crates/verbenahitch/src/port/kv.rs
@@ -17,16 +17,16 @@
     pub created: u64,
 }
 
-/// One change that a watch tells.
+/// One change that a watch reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// The key has this value now.
+    /// The key was created or its value was changed.
     Put(Item),
-    /// The key is gone.
+    /// The key was removed.
     Removed(String),
 }
 
-/// A transaction: all of it or nothing.
+/// An atomic transaction.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Transaction {
     /// Revisions that the keys must have, zero for keys that must not exist.
@@ -44,12 +44,12 @@
     pub key: String,
     /// Value.
     pub value: Vec<u8>,
-    /// Lease that the key ends with, zero for none.
+    /// Lease whose end removes the key; zero for none.
     pub lease: u64,
 }
 
 impl Put {
-    /// A key that stays until it is removed.
+    /// A key without a lease, which stays until it is removed.
     pub fn lasting(key: String, value: Vec<u8>) -> Self {
         Self {
             key,
@@ -59,39 +59,39 @@
     }
 }
 
-/// Why a call brought no result.
+/// Why a call failed.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum KvError {
-    /// Nothing was done.
-    #[snafu(display("nothing was done: {cause}"))]
+    /// The call provably took no effect.
+    #[snafu(display("the call took no effect: {cause}"))]
     Refused {
         /// Cause.
         cause: String,
     },
-    /// It may have been done, or may be done yet.
-    #[snafu(display("no answer: {cause}"))]
+    /// The call may have taken effect, or may still take effect.
+    #[snafu(display("no answer, the call may take effect: {cause}"))]
     Unanswered {
         /// Cause.
         cause: String,
     },
-    /// An expected revision was another.
-    #[snafu(display("an expected revision was another"))]
+    /// A key does not have the expected revision.
+    #[snafu(display("a key does not have the expected revision"))]
     Conflict {
-        /// The expected keys as they are.
+        /// Current state of the expected keys.
         items: Vec<Item>,
     },
     /// The lease has ended.
     #[snafu(display("the lease has ended"))]
     NoLease,
-    /// The history asked for is no longer kept.
-    #[snafu(display("the history is no longer kept"))]
+    /// The requested revisions have been compacted.
+    #[snafu(display("the requested revisions have been compacted"))]
     Compacted,
 }
 
-/// Calls to the service. Each ends within a bounded time.
+/// Calls to the service. Each returns within a bounded time.
 #[expect(
     async_fn_in_trait,
-    reason = "the futures stay on the thread of their process edge"
+    reason = "the futures are polled on one thread and need not be Send"
 )]
 pub trait KeyValue: Clone + 'static {
     /// Reads a key.
@@ -101,18 +101,18 @@
     /// When the service does not answer.
     async fn get(&self, key: &str) -> Result<Option<Item>, KvError>;
 
-    /// Reads all keys that begin with `prefix`, and a revision to watch from.
+    /// Reads all keys that start with `prefix`, and the revision to watch from.
     ///
     /// # Errors
     ///
     /// When the service does not answer.
     async fn range(&self, prefix: &str) -> Result<(Vec<Item>, u64), KvError>;
 
-    /// Waits up to `wait_ms` for changes after a revision; returns the one to go on from.
+    /// Waits up to `wait_ms` for changes after a revision; returns the revision for the next watch.
     ///
     /// # Errors
     ///
-    /// When the service does not answer, or no longer keeps the history.
+    /// When the service does not answer, or has compacted the revision `after`.
     async fn watch(
         &self,
         prefix: &str,
@@ -120,11 +120,11 @@
         wait_ms: Millis,
     ) -> Result<(Vec<Change>, u64), KvError>;
 
-    /// Carries a transaction out; returns its revision.
+    /// Commits a transaction; returns its revision.
     ///
     /// # Errors
     ///
-    /// When it was not carried out, or nobody knows.
+    /// When it was not committed, or its outcome is unknown.
     async fn commit(&self, transaction: &Transaction) -> Result<u64, KvError>;
 
     /// Creates a lease.
@@ -141,7 +141,7 @@
     /// When it has ended, or the service does not answer.
     async fn renew(&self, lease: u64) -> Result<(), KvError>;
 
-    /// Ends a lease, and with it its keys.
+    /// Ends a lease and removes its keys.
     ///
     /// # Errors
     ///
--- a/crates/verbenahitch/src/port/mod.rs
+++ b/crates/verbenahitch/src/port/mod.rs
@@ -1,6 +1,6 @@
-//! Messages between the decision logic and the outside systems.
+//! Interfaces and message types between the decision logic and external systems.
 //!
-//! The logic sees only these types; the modules under [`crate::adapter`]
+//! The decision logic uses only these types; the modules under [`crate::adapter`]
 //! translate them to the published protocols.
 
 mod clock;
--- a/crates/verbenahitch/src/port/store.rs
+++ b/crates/verbenahitch/src/port/store.rs
@@ -8,13 +8,13 @@
 /// One key with its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Key, with `/` between its parts.
+    /// Key; `/` separates its parts.
     pub key: String,
     /// Value, at most one megabyte.
     pub value: Vec<u8>,
-    /// Index of the newest change of the key, for compare-and-swap.
+    /// Index of the last change of the key, for compare-and-swap.
     pub modify: u64,
-    /// Number of times that the key has been locked; the fencing epoch of the lock.
+    /// Number of times that the key has been locked, used as the fencing epoch of the lock.
     pub lock: u64,
     /// Session that holds the lock, if any.
     pub session: Option<String>,
@@ -23,7 +23,7 @@
 /// One operation of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Op {
-    /// Sets `key` if its newest change is `index`; index 0 requires that it is absent.
+    /// Sets `key` if its last change has this index; index 0 requires that it is absent.
     Cas {
         /// Key to set.
         key: String,
@@ -32,7 +32,7 @@
         /// Expected index.
         index: u64,
     },
-    /// Sets `key` whatever it holds.
+    /// Sets `key` unconditionally.
     Set {
         /// Key to set.
         key: String,
@@ -66,18 +66,18 @@
         /// Index of the change.
         index: u64,
     },
-    /// None took effect.
+    /// No operation took effect.
     Conflict {
         /// Positions of the operations that failed.
         failed: Vec<usize>,
     },
 }
 
-/// Why the store gave no answer.
+/// Why a call to the store failed.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum StoreError {
     /// The call provably took no effect.
-    #[snafu(display("store at {address} did not take the call: {reason}"))]
+    #[snafu(display("store at {address} did not accept the call, it took no effect: {reason}"))]
     Unreachable {
         /// Address of the store.
         address: String,
@@ -86,7 +86,7 @@
     },
     /// The call may have taken effect.
     #[snafu(display(
-        "store at {address} gave no answer, the call may have taken effect: {reason}"
+        "store at {address} did not answer, the call may have taken effect: {reason}"
     ))]
     Unanswered {
         /// Address of the store.
@@ -94,14 +94,14 @@
         /// What went wrong.
         reason: String,
     },
-    /// The answer does not follow the protocol.
+    /// The store answered with an error status that neither case above covers.
     #[snafu(display("store at {address} answered {status}: {reason}"))]
     Rejected {
         /// Address of the store.
         address: String,
         /// HTTP status.
         status: u16,
-        /// What the store said.
+        /// Body of the answer.
         reason: String,
     },
 }
--- a/crates/verbenahitch/src/port/worker.rs
+++ b/crates/verbenahitch/src/port/worker.rs
@@ -1,15 +1,16 @@
-//! The platform's interface to a worker: one call that carries commands in and
-//! reports out.
+//! The platform's interface to a worker: one call whose request carries commands
+//! and whose reply carries the state of the runs.
 //!
-//! Properties that rest on the worker, and what is lost without each:
+//! The scheduler relies on these guarantees of the worker:
 //!
-//! * It refuses an epoch below the highest one that it has seen, and a sequence
-//!   number that is not above the last of its epoch. Otherwise a delayed or
-//!   superseded start could run a task twice.
-//! * It refuses a call after the call's `not_after` instant of its own clock.
-//!   Otherwise an owner that was paused could renew leases without bound.
-//! * It remembers an ended task until the end is acknowledged. Otherwise a
-//!   finished task could be run again after a lost reply.
+//! * It refuses an epoch lower than the highest one that it has seen, and a
+//!   sequence number that does not exceed the last one of its epoch. Otherwise a
+//!   delayed or superseded start could run a task twice.
+//! * It refuses a call that arrives after the call's `not_after` instant on the
+//!   worker's own clock. Otherwise an owner that was paused could renew leases
+//!   without bound.
+//! * It keeps the record of an ended run until the end is acknowledged.
+//!   Otherwise a finished task could be run again after a lost reply.
 //! * It stops a task, after a checkpoint, once the task's lease lapses.
 //!   Otherwise the tasks of an unreachable worker could never be started elsewhere.
 
@@ -28,15 +29,15 @@
     pub owner: String,
     /// Epoch of the ownership.
     pub epoch: u64,
-    /// Number of the call in its epoch, from one.
+    /// Sequence number of the call within its epoch, from one.
     pub seq: u64,
-    /// Instant of the worker's clock after which the call is refused, zero for none known yet.
+    /// Instant on the worker's clock after which the call is refused; zero while it is unknown.
     pub not_after: Millis,
-    /// New lease of every task of the shard on the worker, in milliseconds; zero renews nothing.
+    /// Lease, in milliseconds, that every task of the shard on the worker gets; zero renews none.
     pub lease_ms: Millis,
-    /// Commands in order.
+    /// Commands, carried out in this order.
     pub commands: Vec<Command>,
-    /// Ended runs whose end the store holds: the worker may forget them.
+    /// Ended runs whose end is committed to the store: the worker may drop their records.
     pub acked: Vec<u64>,
 }
 
@@ -58,22 +59,22 @@
         profile: String,
         /// Class of its profile.
         class: Class,
-        /// What the task commits.
+        /// Resources that the task commits.
         resources: Resources,
-        /// Declared run time in milliseconds; zero runs until stopped.
+        /// Declared run time in milliseconds; with zero the task runs until stopped.
         run_ms: Millis,
         /// Checkpoint to resume from: progress in milliseconds of work.
         checkpoint_ms: Millis,
-        /// Share of its processors, above 0.0 and at most 1.0.
+        /// CPU share: fraction of its processors, above 0.0 and at most 1.0.
         share: f64,
         /// Input of the task.
         payload: String,
     },
-    /// Changes the share of processors of a run.
+    /// Changes the CPU share of a run.
     Throttle {
         /// Run to change.
         run: u64,
-        /// New share, above 0.0 and at most 1.0.
+        /// New CPU share, above 0.0 and at most 1.0.
         share: f64,
     },
     /// Writes a checkpoint and stops a run.
@@ -94,15 +95,15 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct SyncReply {
-    /// Worker's own clock in milliseconds.
+    /// Time of the worker's own clock in milliseconds.
     pub clock: Millis,
     /// Commands that were refused.
     pub refused: Vec<Refusal>,
-    /// Runs of the shard that go on.
+    /// Runs of the shard in progress.
     pub running: Vec<Running>,
     /// Runs of the shard that have ended and are not yet acknowledged.
     pub ended: Vec<Ended>,
-    /// Usage as last measured.
+    /// Last measured usage.
     pub usage: Usage,
 }
 
@@ -112,11 +113,11 @@
 pub struct Refusal {
     /// Run that the command named.
     pub run: u64,
-    /// Why, in words.
+    /// Reason as text.
     pub reason: String,
 }
 
-/// A run that goes on.
+/// A run in progress.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Running {
@@ -124,11 +125,11 @@
     pub task: TaskId,
     /// Number of the run.
     pub run: u64,
-    /// What the run commits.
+    /// Resources that the run commits.
     pub resources: Resources,
     /// Newest checkpoint: progress in milliseconds of work.
     pub checkpoint_ms: Millis,
-    /// Share of its processors.
+    /// CPU share: fraction of its processors.
     pub share: f64,
 }
 
@@ -136,7 +137,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndKind {
-    /// Ran to its end.
+    /// Completed.
     Done,
     /// Failed.
     Failed,
@@ -162,7 +163,7 @@
     pub checkpoint_ms: Millis,
 }
 
-/// Lagging usage of a worker.
+/// Usage of a worker, measured some time before the reply.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Usage {
@@ -170,7 +171,7 @@
     pub age_ms: Millis,
     /// Usage of each run.
     pub tasks: Vec<TaskUsage>,
-    /// Latency of the upstream's answers, per profile.
+    /// Latency of the upstream's answers by profile.
     pub latency: Vec<LatencyReport>,
 }
 
@@ -192,7 +193,7 @@
 pub struct LatencyReport {
     /// Name of the profile.
     pub profile: String,
-    /// Answers measured.
+    /// Number of measured answers.
     pub count: u64,
     /// Median in microseconds.
     pub p50_us: u64,
@@ -204,25 +205,25 @@
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum SyncError {
     /// The worker has seen a higher epoch (HTTP 409 with the epoch).
-    #[snafu(display("worker has seen epoch {epoch}"))]
+    #[snafu(display("worker has seen the higher epoch {epoch}"))]
     StaleEpoch {
         /// Highest epoch that the worker has seen.
         epoch: u64,
     },
-    /// The call arrived out of order or too late (HTTP 410 with its clock).
-    #[snafu(display("worker refused a late call"))]
+    /// The call arrived out of order or after its `not_after` (HTTP 410 with the worker's clock).
+    #[snafu(display("worker refused a call that arrived out of order or too late"))]
     Late {
-        /// Worker's own clock in milliseconds.
+        /// Time of the worker's own clock in milliseconds.
         clock: Millis,
     },
-    /// The call provably had no effect.
+    /// The call provably took no effect.
     #[snafu(display("worker is unreachable: {reason}"))]
     Unreachable {
         /// What went wrong.
         reason: String,
     },
-    /// The call may have had its effect.
-    #[snafu(display("worker gave no answer: {reason}"))]
+    /// The call may have taken effect.
+    #[snafu(display("worker did not answer: {reason}"))]
     Unanswered {
         /// What went wrong.
         reason: String,
--- a/crates/verbenahitch/src/settings/declared.rs
+++ b/crates/verbenahitch/src/settings/declared.rs
@@ -2,34 +2,34 @@
 
 use super::shape::{Field, Shape};
 
-/// Largest whole number that JSON readers agree on.
-const EXACT_MAX: u64 = 1 << 53;
+/// Bound up to which every JSON parser represents integers exactly, also as doubles.
+const MAX_EXACT_INTEGER: u64 = 1 << 53;
 const DAY_MS: u64 = 86_400_000;
-const CORES_MAX: u64 = 1_000_000;
-const MEMORY_MAX_MIB: u64 = 1 << 30;
+const MAX_MILLICORES: u64 = 1_000_000;
+const MAX_MEMORY_MIB: u64 = 1 << 30;
 
-const fn whole(min: u64, max: u64) -> Shape {
+const fn integer(min: u64, max: u64) -> Shape {
     Shape::Integer { min, max }
 }
 
 /// Shape of the declarations.
 pub const DECLARATIONS: Shape = Shape::Object(&[
-    Field::or(
+    Field::with_default(
         "revision",
-        whole(0, EXACT_MAX),
+        integer(0, MAX_EXACT_INTEGER),
         "0",
         "number of the accepted change; set by the system",
     ),
-    Field::or(
+    Field::with_default(
         "write-id",
         TEXT,
         "\"\"",
         "identity of the write; set by the system",
     ),
-    Field::or("profiles", Shape::Map(&PROFILE), "{}", "profiles by name"),
-    Field::or("kinds", Shape::Map(&KIND), "{}", "request kinds by name"),
-    Field::or("teams", Shape::Map(&TEAM), "{}", "teams by name"),
-    Field::or(
+    Field::with_default("profiles", Shape::Map(&PROFILE), "{}", "profiles by name"),
+    Field::with_default("kinds", Shape::Map(&KIND), "{}", "request kinds by name"),
+    Field::with_default("teams", Shape::Map(&TEAM), "{}", "teams by name"),
+    Field::with_default(
         "zones",
         Shape::Map(&ZONE),
         "{}",
@@ -53,20 +53,20 @@
     Field::required("resources", RESOURCES, "what each task commits of its host"),
     Field::required(
         "worth",
-        whole(1, 1_000),
+        integer(1, 1_000),
         "worth of one finished task or one answered request",
     ),
     Field::required(
         "target-ms",
-        whole(1, DAY_MS),
+        integer(1, DAY_MS),
         "latency target of a request, or expected run time of a task",
     ),
     Field::required(
         "deadline-ms",
-        whole(1, 30 * DAY_MS),
+        integer(1, 30 * DAY_MS),
         "longest time from acceptance to the end",
     ),
-    Field::or(
+    Field::with_default(
         "max-slowdown",
         Shape::Number {
             min: 1.0,
@@ -75,7 +75,7 @@
         "1.5",
         "largest tolerated ratio of the time taken to the time taken alone",
     ),
-    Field::or(
+    Field::with_default(
         "min-share",
         Shape::Number {
             min: 0.01,
@@ -84,19 +84,19 @@
         "0.25",
         "least share of its processors that throttling leaves",
     ),
-    Field::or("eviction", EVICTION, "{}", "rules for evicting a task"),
+    Field::with_default("eviction", EVICTION, "{}", "rules for evicting a task"),
     Field::required(
         "idempotent",
         Shape::Flag,
         "whether running the work twice has the effect of running it once",
     ),
-    Field::or(
+    Field::with_default(
         "urgent",
         Shape::Flag,
         "false",
         "whether tasks start ahead of all that is not urgent",
     ),
-    Field::or(
+    Field::with_default(
         "pressure",
         Shape::Number { min: 0.0, max: 1.0 },
         "0.2",
@@ -107,52 +107,52 @@
 const RESOURCES: Shape = Shape::Object(&[
     Field::required(
         "millicores",
-        whole(0, CORES_MAX),
+        integer(0, MAX_MILLICORES),
         "processor time in thousandths of a core",
     ),
     Field::required(
         "memory-mib",
-        whole(0, MEMORY_MAX_MIB),
+        integer(0, MAX_MEMORY_MIB),
         "memory in mebibytes",
     ),
-    Field::or("accelerators", whole(0, 1_000), "0", "whole accelerators"),
+    Field::with_default("accelerators", integer(0, 1_000), "0", "whole accelerators"),
 ]);
 
 const QUOTA: Shape = Shape::Object(&[
     Field::required(
         "millicores",
-        whole(0, 1_000 * CORES_MAX),
+        integer(0, 1_000 * MAX_MILLICORES),
         "processor time in thousandths of a core",
     ),
     Field::required(
         "memory-mib",
-        whole(0, 1_000 * MEMORY_MAX_MIB),
+        integer(0, 1_000 * MAX_MEMORY_MIB),
         "memory in mebibytes",
     ),
-    Field::or(
+    Field::with_default(
         "accelerators",
-        whole(0, 1_000_000),
+        integer(0, 1_000_000),
         "0",
         "whole accelerators",
     ),
 ]);
 
 const EVICTION: Shape = Shape::Object(&[
-    Field::or(
+    Field::with_default(
         "allowed",
         Shape::Flag,
         "true",
         "whether a running task may be evicted at all",
     ),
-    Field::or(
+    Field::with_default(
         "grace-ms",
-        whole(0, 600_000),
+        integer(0, 600_000),
         "2000",
         "time a task gets to write its checkpoint",
     ),
-    Field::or(
+    Field::with_default(
         "hourly-budget",
-        whole(0, 1_000),
+        integer(0, 1_000),
         "4",
         "most evictions of one task in an hour",
     ),
@@ -186,15 +186,15 @@
         Shape::Choice(&["in", "out"]),
         "whether the zone takes work",
     ),
-    Field::or(
+    Field::with_default(
         "shards",
-        whole(1, 64),
+        integer(1, 64),
         "1",
         "number of shards that its workers are divided into",
     ),
-    Field::or(
+    Field::with_default(
         "ramp-ms",
-        whole(0, DAY_MS),
+        integer(0, DAY_MS),
         "30000",
         "time over which a returning zone is filled",
     ),
--- a/crates/verbenahitch/src/settings/fault.rs
+++ b/crates/verbenahitch/src/settings/fault.rs
@@ -1,13 +1,13 @@
-//! Faults of a settings file.
+//! Faults in a settings file.
 
 use std::fmt;
 use std::path::PathBuf;
 
 use snafu::Snafu;
 
-/// One fault with its place.
+/// One fault with its line and column.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Located {
+pub struct LocatedFault {
     /// Line, from one.
     pub line: usize,
     /// Column in characters, from one.
@@ -30,17 +30,17 @@
         /// Cause.
         source: std::io::Error,
     },
-    /// The file has faults.
-    #[snafu(display("{}", listed(file, faults)))]
+    /// The content of the file has faults.
+    #[snafu(display("{}", fault_lines(file, faults)))]
     Faulty {
         /// File.
         file: String,
-        /// All faults in the order of their places.
-        faults: Vec<Located>,
+        /// All faults, sorted by line and column.
+        faults: Vec<LocatedFault>,
     },
 }
 
-impl fmt::Display for Located {
+impl fmt::Display for LocatedFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}: ", self.line, self.column)?;
         if !self.path.is_empty() {
@@ -50,7 +50,7 @@
     }
 }
 
-fn listed(file: &str, faults: &[Located]) -> String {
+fn fault_lines(file: &str, faults: &[LocatedFault]) -> String {
     let lines: Vec<String> = faults
         .iter()
         .map(|fault| format!("{file}:{fault}"))
--- a/crates/verbenahitch/src/settings/load.rs
+++ b/crates/verbenahitch/src/settings/load.rs
@@ -1,4 +1,4 @@
-//! Reading and checking of settings, declarations and job specifications.
+//! Reading and validation of settings and declarations.
 
 use std::path::Path;
 
@@ -7,46 +7,46 @@
 use serde::de::DeserializeOwned;
 use snafu::ResultExt;
 
-use super::check::{self, Placed};
+use super::check::{self, OffsetFault};
 use super::declared::DECLARATIONS;
-use super::fault::{FaultySnafu, Located, ReadSnafu, SettingsError};
+use super::fault::{FaultySnafu, LocatedFault, ReadSnafu, SettingsError};
 use super::schema::Settings;
 use super::shape::Shape;
 use super::table::SETTINGS;
 use crate::config::{Declarations, Fault};
 
-/// Reads and checks the settings in `file`.
+/// Reads and validates the settings in `file`.
 ///
 /// # Errors
 ///
-/// When the file cannot be read or has faults; then all of them are listed.
+/// When the file cannot be read or has faults; the error lists all of them.
 pub fn load(file: &Path) -> Result<Settings, SettingsError> {
     parse_settings(&file.display().to_string(), &read(file)?)
 }
 
-/// Reads and checks the declarations in `file`.
+/// Reads and validates the declarations in `file`.
 ///
 /// # Errors
 ///
-/// When the file cannot be read or has faults; then all of them are listed.
+/// When the file cannot be read or has faults; the error lists all of them.
 pub fn load_declarations(file: &Path) -> Result<Declarations, SettingsError> {
     parse_declarations(&file.display().to_string(), &read(file)?)
 }
 
-/// Checks settings that were read from `file`.
+/// Parses and validates settings; `file` is the name that faults are reported under.
 ///
 /// # Errors
 ///
-/// When the text has faults; then all of them are listed.
+/// When the text has faults; the error lists all of them.
 pub fn parse_settings(file: &str, text: &str) -> Result<Settings, SettingsError> {
     parse(file, text, &SETTINGS, Settings::faults)
 }
 
-/// Checks declarations that were read from `file`.
+/// Parses and validates declarations; `file` is the name that faults are reported under.
 ///
 /// # Errors
 ///
-/// When the text has faults; then all of them are listed.
+/// When the text has faults; the error lists all of them.
 pub fn parse_declarations(file: &str, text: &str) -> Result<Declarations, SettingsError> {
     parse(file, text, &DECLARATIONS, Declarations::faults)
 }
@@ -55,13 +55,13 @@
     file: &str,
     text: &str,
     shape: &Shape,
-    meaning: impl Fn(&T) -> Vec<Fault>,
+    semantic_faults: impl Fn(&T) -> Vec<Fault>,
 ) -> Result<T, SettingsError> {
-    let faulty = |mut placed: Vec<Placed>| {
-        placed.sort_by_key(|fault| fault.offset);
-        let faults: Vec<Located> = placed
+    let faulty = |mut offset_faults: Vec<OffsetFault>| {
+        offset_faults.sort_by_key(|fault| fault.offset);
+        let faults: Vec<LocatedFault> = offset_faults
             .into_iter()
-            .map(|fault| locate(text, fault))
+            .map(|fault| with_position(text, fault))
             .collect();
         FaultySnafu { file, faults }.fail()
     };
@@ -78,10 +78,15 @@
     };
     let ast = match parse_to_ast(text, &CollectOptions::default(), &options) {
         Ok(parsed) => parsed.value,
-        Err(error) => return faulty(vec![whole(error.range().start, error.kind().to_string())]),
+        Err(error) => {
+            return faulty(vec![document_fault(
+                error.range().start,
+                error.kind().to_string(),
+            )]);
+        }
     };
     let Some(ast) = ast else {
-        return faulty(vec![whole(0, "the file is empty".to_owned())]);
+        return faulty(vec![document_fault(0, "the file is empty".to_owned())]);
     };
     let faults = check::faults(&ast, shape);
     if !faults.is_empty() {
@@ -89,37 +94,47 @@
     }
     let parsed: T = match parse_to_serde_value(text, &options) {
         Ok(parsed) => parsed,
-        Err(error) => return faulty(vec![whole(error.range().start, error.kind().to_string())]),
+        Err(error) => {
+            return faulty(vec![document_fault(
+                error.range().start,
+                error.kind().to_string(),
+            )]);
+        }
     };
-    let faults = meaning(&parsed);
+    let faults = semantic_faults(&parsed);
     if !faults.is_empty() {
-        return faulty(faults.into_iter().map(|fault| place(&ast, fault)).collect());
+        return faulty(
+            faults
+                .into_iter()
+                .map(|fault| with_offset(&ast, fault))
+                .collect(),
+        );
     }
     Ok(parsed)
 }
 
-fn place(ast: &Value<'_>, fault: Fault) -> Placed {
-    Placed {
+fn with_offset(ast: &Value<'_>, fault: Fault) -> OffsetFault {
+    OffsetFault {
         offset: check::offset_of(ast, &fault.path),
         path: fault.path,
         reason: fault.reason,
     }
 }
 
-fn whole(offset: usize, reason: String) -> Placed {
-    Placed {
+fn document_fault(offset: usize, reason: String) -> OffsetFault {
+    OffsetFault {
         offset,
         path: String::new(),
         reason,
     }
 }
 
-fn locate(text: &str, fault: Placed) -> Located {
-    let before = &text[..fault.offset.min(text.len())];
-    let start = before.rfind('\n').map_or(0, |newline| newline + 1);
-    Located {
-        line: before.matches('\n').count() + 1,
-        column: before[start..].chars().count() + 1,
+fn with_position(text: &str, fault: OffsetFault) -> LocatedFault {
+    let preceding = &text[..fault.offset.min(text.len())];
+    let line_start = preceding.rfind('\n').map_or(0, |newline| newline + 1);
+    LocatedFault {
+        line: preceding.matches('\n').count() + 1,
+        column: preceding[line_start..].chars().count() + 1,
         path: fault.path,
         reason: fault.reason,
     }
--- a/crates/verbenahitch/src/settings/mod.rs
+++ b/crates/verbenahitch/src/settings/mod.rs
@@ -1,9 +1,9 @@
-//! Settings of the daemons: JSON with comments, checked whole before anything
-//! starts.
+//! Settings of the daemons: a file in JSON with comments, validated completely
+//! before a daemon starts.
 //!
-//! One file serves both daemons of an entry host. Every fault of a file is
-//! reported in one run, with its line and column. The declarations are checked
-//! the same way.
+//! One file configures both daemons of an entry host. All faults in a file are
+//! reported at once, each with its line and column. The declarations are
+//! validated in the same way.
 
 mod check;
 mod declared;
@@ -15,7 +15,7 @@
 mod token;
 
 pub use declared::DECLARATIONS;
-pub use fault::{Located, SettingsError};
+pub use fault::{LocatedFault, SettingsError};
 pub use load::{load, load_declarations, parse_declarations, parse_settings};
 pub use schema::{
     GatewaySettings, LogSettings, OperatorSettings, PeerSettings, PlatformSettings,
--- a/crates/verbenahitch/src/settings/schema.rs
+++ b/crates/verbenahitch/src/settings/schema.rs
@@ -1,4 +1,4 @@
-//! Keys of the settings with their defaults, units and limits.
+//! Types of the settings with their defaults, and the checks across several keys.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -17,23 +17,23 @@
     pub name: String,
     /// Availability zone of the entry host.
     pub zone: String,
-    /// The platform's services.
+    /// Access to the platform's services.
     pub platform: PlatformSettings,
-    /// The other processes of the system.
+    /// Communication with the other processes of the system.
     pub peers: PeerSettings,
-    /// The gateway daemon.
+    /// Settings of the gateway daemon.
     pub gateway: GatewaySettings,
-    /// The scheduler daemon.
+    /// Settings of the scheduler daemon.
     pub scheduler: SchedulerSettings,
-    /// Operators that may use the operators' interface.
+    /// Operators that are authorized to use the operators' interface.
     #[serde(default)]
     pub operators: Vec<OperatorSettings>,
-    /// Logs.
+    /// Settings of the log.
     #[serde(default)]
     pub log: LogSettings,
 }
 
-/// The platform's services.
+/// Access to the platform's services.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct PlatformSettings {
@@ -44,31 +44,31 @@
     /// Name of the workers' service in the list.
     #[serde(default = "default_service")]
     pub service: String,
-    /// Time limit of a call, in milliseconds.
+    /// Timeout of a call, in milliseconds.
     #[serde(default = "default_call_timeout")]
     pub timeout_ms: Millis,
-    /// Time between two readings of the list, in milliseconds.
+    /// Interval between two reads of the list, in milliseconds.
     #[serde(default = "default_hosts_interval")]
     pub hosts_interval_ms: Millis,
 }
 
-/// The other processes of the system.
+/// Communication with the other processes of the system.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct PeerSettings {
-    /// File that holds the token which processes show each other.
+    /// File that holds the token by which processes authenticate to each other.
     pub token_file: PathBuf,
-    /// Processes to greet at the start; the others become known through them.
+    /// Processes to contact at startup; the other processes are discovered through them.
     pub seeds: Vec<Seed>,
-    /// Time between two heartbeats, in milliseconds.
+    /// Interval between two heartbeats, in milliseconds.
     #[serde(default = "default_heartbeat")]
     pub heartbeat_ms: Millis,
-    /// Time without a heartbeat after which a process is presumed gone, in milliseconds.
+    /// Time without a heartbeat after which a process is considered lost, in milliseconds.
     #[serde(default = "default_peer_timeout")]
     pub timeout_ms: Millis,
 }
 
-/// A process to greet at the start.
+/// A process to contact at startup.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Seed {
@@ -76,13 +76,13 @@
     pub address: SocketAddr,
 }
 
-/// The gateway daemon.
+/// Settings of the gateway daemon.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct GatewaySettings {
-    /// Address that callers use.
+    /// Address to listen on for callers.
     pub callers: SocketAddr,
-    /// Address that operators and submitters of jobs use.
+    /// Address to listen on for operators and submitters of jobs.
     pub operators: SocketAddr,
     /// Address of the metrics.
     pub metrics: SocketAddr,
@@ -91,39 +91,39 @@
     /// Threads that serve requests.
     #[serde(default = "default_threads")]
     pub threads: usize,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     #[serde(default = "default_body")]
     pub body_limit: u64,
-    /// Largest body of an upstream's answer, in bytes.
+    /// Maximum size of the body of an upstream's answer, in bytes.
     #[serde(default = "default_answer")]
     pub answer_limit: u64,
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request head (request line and headers), in bytes.
     #[serde(default = "default_head")]
     pub head_limit: u32,
-    /// Longest idempotency key, in bytes.
+    /// Maximum length of an idempotency key, in bytes.
     #[serde(default = "default_key")]
     pub key_limit: usize,
-    /// Most requests in progress.
+    /// Maximum number of requests in progress.
     #[serde(default = "default_concurrency")]
     pub concurrency: usize,
-    /// Most upstreams that this gateway keeps connections to.
+    /// Maximum number of upstreams that this gateway keeps connections to.
     #[serde(default = "default_subset")]
     pub subset: usize,
-    /// Retries per hundred first attempts.
+    /// Maximum number of retries per hundred first attempts.
     #[serde(default = "default_retry_percent")]
     pub retry_percent: u32,
-    /// Longest time without progress on an upstream's connection, in milliseconds.
+    /// Maximum time without progress on an upstream's connection, in milliseconds.
     #[serde(default = "default_silence")]
     pub silence_ms: Millis,
-    /// Longest time that a planned stop waits for requests in progress, in milliseconds.
+    /// Maximum time that a planned stop waits for requests in progress, in milliseconds.
     #[serde(default = "default_grace")]
     pub grace_ms: Millis,
-    /// Time for which an idempotency key is remembered at least, in milliseconds.
+    /// Minimum time for which an idempotency key is kept, in milliseconds.
     #[serde(default = "default_once")]
     pub once_ms: Millis,
 }
 
-/// The scheduler daemon.
+/// Settings of the scheduler daemon.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct SchedulerSettings {
@@ -131,34 +131,34 @@
     pub metrics: SocketAddr,
     /// Address that the other processes use.
     pub peers: SocketAddr,
-    /// Threads that carry out calls.
+    /// Threads that carry out the calls to other processes.
     #[serde(default = "default_threads")]
     pub threads: usize,
-    /// Time between two syncs with a worker that has nothing new, in milliseconds.
+    /// Interval between two syncs with a worker when there is nothing new to send, in milliseconds.
     #[serde(default = "default_sync")]
     pub sync_ms: Millis,
-    /// Time limit of a sync, in milliseconds.
+    /// Timeout of a sync, in milliseconds.
     #[serde(default = "default_sync_timeout")]
     pub sync_timeout_ms: Millis,
-    /// Lease of a task on its worker, in milliseconds.
+    /// Length of the lease of a task on its worker, in milliseconds.
     #[serde(default = "default_task_lease")]
     pub task_lease_ms: Millis,
-    /// Lease of a shard in the store, in milliseconds.
+    /// Length of the lease of a shard in the store, in milliseconds.
     #[serde(default = "default_shard_lease")]
     pub shard_lease_ms: Millis,
     /// Time after which a start permit lapses, in milliseconds.
     #[serde(default = "default_permit")]
     pub permit_ms: Millis,
-    /// Time for which tasks go on while the store cannot be reached, in milliseconds.
+    /// Time for which tasks continue while the store cannot be reached, in milliseconds.
     #[serde(default = "default_outage")]
     pub outage_ms: Millis,
-    /// Least time between two commits of a shard, in milliseconds.
+    /// Minimum interval between two commits of a shard, in milliseconds.
     #[serde(default = "default_commit")]
     pub commit_ms: Millis,
-    /// Tasks of a shard that are marked as startable ahead of their turn.
+    /// Number of queued tasks of a shard that are marked as startable in advance.
     #[serde(default = "default_mark_ahead")]
     pub mark_ahead: usize,
-    /// Time for which a finished job can be asked about, in milliseconds.
+    /// Time for which the state of a finished job can be queried, in milliseconds.
     #[serde(default = "default_retention")]
     pub retention_ms: Millis,
 }
@@ -167,19 +167,19 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct OperatorSettings {
-    /// Name that appears in the log.
+    /// Name of the operator in the log.
     pub name: String,
     /// File that holds the operator's bearer token.
     pub token_file: PathBuf,
 }
 
-/// Logs.
+/// Settings of the log.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// Least level that is written.
+    /// Minimum level that is written.
     pub level: Level,
-    /// File to append to; standard error if absent.
+    /// File that the log is appended to; standard error if absent.
     pub file: Option<PathBuf>,
 }
 
@@ -218,12 +218,12 @@
 }
 
 impl Settings {
-    /// Faults between keys that are each fine by themselves.
+    /// Faults in the relation between keys that are each valid on their own.
     pub fn faults(&self) -> Vec<Fault> {
         let scheduler = &self.scheduler;
         let mut faults = Vec::new();
-        let mut check = |fine: bool, path: &str, reason: String| {
-            if !fine {
+        let mut check = |valid: bool, path: &str, reason: String| {
+            if !valid {
                 let path = path.to_owned();
                 faults.push(Fault { path, reason });
             }
@@ -253,12 +253,13 @@
                 scheduler.shard_lease_ms, self.platform.timeout_ms
             ),
         );
-        self.shared_addresses(&mut check);
+        self.check_listeners(&mut check);
         faults
     }
 
-    /// Reports addresses that two listeners would share; port 0 is never shared.
-    fn shared_addresses(&self, check: &mut impl FnMut(bool, &str, String)) {
+    /// Reports addresses that two listeners would share. Port 0 is exempt, because each
+    /// listener then gets a free port of its own.
+    fn check_listeners(&self, check: &mut impl FnMut(bool, &str, String)) {
         let listeners = [
             ("gateway.callers", self.gateway.callers),
             ("gateway.operators", self.gateway.operators),
@@ -269,8 +270,8 @@
         ];
         for (index, (path, address)) in listeners.iter().enumerate() {
             let mut earlier = listeners[..index].iter();
-            let twin = earlier.find(|(_, other)| other == address && address.port() != 0);
-            if let Some((other, _)) = twin {
+            let duplicate = earlier.find(|(_, other)| other == address && address.port() != 0);
+            if let Some((other, _)) = duplicate {
                 let reason = format!("found {address}, which {other} has already");
                 check(false, path, reason);
             }
--- a/crates/verbenahitch/src/settings/shape.rs
+++ b/crates/verbenahitch/src/settings/shape.rs
@@ -1,37 +1,37 @@
-//! Shapes of documents: which keys there are and what each may hold.
+//! Shapes of documents: the allowed keys and values, with their defaults and meanings.
 
-/// What a value may be.
+/// Constraint on a value.
 #[derive(Clone, Copy, Debug)]
 pub enum Shape {
-    /// Text that is not empty.
+    /// Non-empty text.
     Text,
-    /// A lower-case name: letters, digits and inner hyphens.
+    /// Name of lower-case letters, digits and hyphens, which must not be at an end.
     Name,
     /// Whole number in a range.
     Integer {
-        /// Least value.
+        /// Minimum, inclusive.
         min: u64,
-        /// Largest value.
+        /// Maximum, inclusive.
         max: u64,
     },
     /// Number in a range.
     Number {
-        /// Least value.
+        /// Minimum, inclusive.
         min: f64,
-        /// Largest value.
+        /// Maximum, inclusive.
         max: f64,
     },
     /// `true` or `false`.
     Flag,
-    /// `ip:port`.
+    /// Socket address as `ip:port`.
     Address,
-    /// One of a few words.
+    /// One of these words.
     Choice(&'static [&'static str]),
-    /// Object with known keys.
+    /// Object that may have only these keys.
     Object(&'static [Field]),
-    /// Object whose keys are names.
+    /// Object with names as keys and values of one shape.
     Map(&'static Shape),
-    /// List.
+    /// List of values of one shape.
     List(&'static Shape),
 }
 
@@ -40,27 +40,27 @@
 pub struct Field {
     /// Key.
     pub key: &'static str,
-    /// What it may hold.
+    /// Constraint on its value.
     pub shape: Shape,
-    /// Value in JSON if the key is absent.
+    /// What applies if the key is absent.
     pub fallback: Fallback,
     /// Meaning, in a short phrase.
     pub meaning: &'static str,
 }
 
-/// What holds if a key is absent.
+/// What applies if a key is absent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fallback {
-    /// The key may not be absent.
+    /// The key is required.
     Required,
-    /// Nothing is set.
+    /// The key is optional and has no default.
     Unset,
-    /// This JSON value.
+    /// The key is optional; this JSON value is the default.
     Value(&'static str),
 }
 
 impl Field {
-    /// Creates a key that may not be absent.
+    /// Creates a required key.
     pub const fn required(key: &'static str, shape: Shape, meaning: &'static str) -> Self {
         Self {
             key,
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Creates a key that may be absent; `fallback` is the JSON value that holds then.
-    pub const fn or(
+    /// Creates an optional key with the JSON value `fallback` as its default.
+    pub const fn with_default(
         key: &'static str,
         shape: Shape,
         fallback: &'static str,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Creates a key that may be absent and then sets nothing.
+    /// Creates an optional key without a default.
     pub const fn optional(key: &'static str, shape: Shape, meaning: &'static str) -> Self {
         Self {
             key,
@@ -97,7 +97,7 @@
 }
 
 impl Shape {
-    /// What is allowed, in words.
+    /// Text that describes the allowed values.
     pub fn allowed(&self) -> String {
         match self {
             Self::Text => "text that is not empty".to_owned(),
--- a/crates/verbenahitch/src/settings/table.rs
+++ b/crates/verbenahitch/src/settings/table.rs
@@ -2,17 +2,17 @@
 
 use super::shape::{Field, Shape};
 
-const PORTS: Shape = Shape::Address;
+const LISTEN_ADDRESS: Shape = Shape::Address;
 const DAY_MS: u64 = 86_400_000;
 const MINUTE_MS: u64 = 60_000;
 const MIB: u64 = 1 << 20;
 
-const fn whole(min: u64, max: u64) -> Shape {
+const fn integer(min: u64, max: u64) -> Shape {
     Shape::Integer { min, max }
 }
 
 const fn millis(max: u64) -> Shape {
-    whole(1, max)
+    integer(1, max)
 }
 
 /// Shape of the settings of one entry host.
@@ -27,31 +27,31 @@
     Field::required("peers", PEERS, "the other processes of the system"),
     Field::required("gateway", GATEWAY, "the gateway daemon"),
     Field::required("scheduler", SCHEDULER, "the scheduler daemon"),
-    Field::or(
+    Field::with_default(
         "operators",
         Shape::List(&OPERATOR),
         "[]",
         "operators that may use the operators' interface",
     ),
-    Field::or("log", LOG, "{}", "logs"),
+    Field::with_default("log", LOG, "{}", "logs"),
 ]);
 
 const PLATFORM: Shape = Shape::Object(&[
     Field::required("store", Shape::Address, "address of the key-value service"),
     Field::required("hosts", Shape::Address, "address of the list of workers"),
-    Field::or(
+    Field::with_default(
         "service",
         Shape::Name,
         "\"worker\"",
         "name of the workers' service in the list",
     ),
-    Field::or(
+    Field::with_default(
         "timeout-ms",
         millis(MINUTE_MS),
         "1000",
         "time limit of a call",
     ),
-    Field::or(
+    Field::with_default(
         "hosts-interval-ms",
         millis(MINUTE_MS),
         "1000",
@@ -70,15 +70,15 @@
         Shape::List(&SEED),
         "processes to greet at the start",
     ),
-    Field::or(
+    Field::with_default(
         "heartbeat-ms",
-        whole(50, MINUTE_MS),
+        integer(50, MINUTE_MS),
         "500",
         "time between two heartbeats",
     ),
-    Field::or(
+    Field::with_default(
         "timeout-ms",
-        whole(200, MINUTE_MS),
+        integer(200, MINUTE_MS),
         "3000",
         "time without a heartbeat after which a process is presumed gone",
     ),
@@ -91,137 +91,150 @@
 )]);
 
 const GATEWAY: Shape = Shape::Object(&[
-    Field::required("callers", PORTS, "address that callers use"),
+    Field::required("callers", LISTEN_ADDRESS, "address that callers use"),
     Field::required(
         "operators",
-        PORTS,
+        LISTEN_ADDRESS,
         "address that operators and submitters of jobs use",
     ),
-    Field::required("metrics", PORTS, "address of the metrics"),
-    Field::required("peers", PORTS, "address that the other processes use"),
-    Field::or("threads", whole(1, 256), "2", "threads that serve requests"),
-    Field::or(
+    Field::required("metrics", LISTEN_ADDRESS, "address of the metrics"),
+    Field::required(
+        "peers",
+        LISTEN_ADDRESS,
+        "address that the other processes use",
+    ),
+    Field::with_default(
+        "threads",
+        integer(1, 256),
+        "2",
+        "threads that serve requests",
+    ),
+    Field::with_default(
         "body-limit",
-        whole(1, 64 * MIB),
+        integer(1, 64 * MIB),
         "1048576",
         "largest body of a request, in bytes",
     ),
-    Field::or(
+    Field::with_default(
         "answer-limit",
-        whole(1, 64 * MIB),
+        integer(1, 64 * MIB),
         "4194304",
         "largest body of an upstream's answer, in bytes",
     ),
-    Field::or(
+    Field::with_default(
         "head-limit",
-        whole(1_024, MIB),
+        integer(1_024, MIB),
         "16384",
         "largest head of a request, in bytes",
     ),
-    Field::or(
+    Field::with_default(
         "key-limit",
-        whole(16, 1_024),
+        integer(16, 1_024),
         "128",
         "longest idempotency key, in bytes",
     ),
-    Field::or(
+    Field::with_default(
         "concurrency",
-        whole(1, 65_536),
+        integer(1, 65_536),
         "2048",
         "most requests in progress",
     ),
-    Field::or(
+    Field::with_default(
         "subset",
-        whole(1, 10_000),
+        integer(1, 10_000),
         "60",
         "most upstreams that this gateway keeps connections to",
     ),
-    Field::or(
+    Field::with_default(
         "retry-percent",
-        whole(0, 100),
+        integer(0, 100),
         "10",
         "retries per hundred first attempts",
     ),
-    Field::or(
+    Field::with_default(
         "silence-ms",
         millis(MINUTE_MS),
         "2000",
         "longest time without progress on an upstream's connection",
     ),
-    Field::or(
+    Field::with_default(
         "grace-ms",
         millis(DAY_MS),
         "30000",
         "longest time that a planned stop waits for requests in progress",
     ),
-    Field::or(
+    Field::with_default(
         "once-ms",
-        whole(MINUTE_MS, DAY_MS),
+        integer(MINUTE_MS, DAY_MS),
         "3600000",
         "time for which an idempotency key is remembered at least",
     ),
 ]);
 
 const SCHEDULER: Shape = Shape::Object(&[
-    Field::required("metrics", PORTS, "address of the metrics"),
-    Field::required("peers", PORTS, "address that the other processes use"),
-    Field::or(
+    Field::required("metrics", LISTEN_ADDRESS, "address of the metrics"),
+    Field::required(
+        "peers",
+        LISTEN_ADDRESS,
+        "address that the other processes use",
+    ),
+    Field::with_default(
         "threads",
-        whole(1, 256),
+        integer(1, 256),
         "2",
         "threads that carry out calls",
     ),
-    Field::or(
+    Field::with_default(
         "sync-ms",
-        whole(50, MINUTE_MS),
+        integer(50, MINUTE_MS),
         "2000",
         "time between two syncs with a worker that has nothing new",
     ),
-    Field::or(
+    Field::with_default(
         "sync-timeout-ms",
-        whole(50, MINUTE_MS),
+        integer(50, MINUTE_MS),
         "1000",
         "time limit of a sync",
     ),
-    Field::or(
+    Field::with_default(
         "task-lease-ms",
-        whole(500, DAY_MS),
+        integer(500, DAY_MS),
         "10000",
         "lease of a task on its worker",
     ),
-    Field::or(
+    Field::with_default(
         "shard-lease-ms",
-        whole(500, DAY_MS),
+        integer(500, DAY_MS),
         "10000",
         "lease of a shard in the store",
     ),
-    Field::or(
+    Field::with_default(
         "permit-ms",
-        whole(1_500, 5_000),
+        integer(1_500, 5_000),
         "3000",
         "time after which a start permit lapses",
     ),
-    Field::or(
+    Field::with_default(
         "outage-ms",
-        whole(0, 7 * DAY_MS),
+        integer(0, 7 * DAY_MS),
         "7200000",
         "time for which tasks go on while the store cannot be reached",
     ),
-    Field::or(
+    Field::with_default(
         "commit-ms",
-        whole(1, 10_000),
+        integer(1, 10_000),
         "50",
         "least time between two commits of a shard",
     ),
-    Field::or(
+    Field::with_default(
         "mark-ahead",
-        whole(0, 10_000),
+        integer(0, 10_000),
         "64",
         "tasks of a shard that are marked as startable ahead of their turn",
     ),
-    Field::or(
+    Field::with_default(
         "retention-ms",
-        whole(1_000, 7 * DAY_MS),
+        integer(1_000, 7 * DAY_MS),
         "600000",
         "time for which a finished job can be asked about",
     ),
@@ -237,7 +250,7 @@
 ]);
 
 const LOG: Shape = Shape::Object(&[
-    Field::or(
+    Field::with_default(
         "level",
         Shape::Choice(&["off", "error", "warn", "info", "debug"]),
         "\"info\"",
--- a/crates/verbenahitch/src/settings/token.rs
+++ b/crates/verbenahitch/src/settings/token.rs
@@ -1,4 +1,4 @@
-//! Tokens in files that the settings name.
+//! Bearer tokens, read from the files that the settings name.
 
 use std::path::{Path, PathBuf};
 
@@ -15,7 +15,7 @@
         /// Cause.
         source: std::io::Error,
     },
-    /// The file holds no token.
+    /// The file is empty or holds only white space.
     #[snafu(display("token file {} is empty", path.display()))]
     Empty {
         /// File.
@@ -23,7 +23,7 @@
     },
 }
 
-/// Reads the token in `path`, without white space at its ends.
+/// Reads the token in `path` and trims white space from both ends.
 ///
 /// # Errors
 ///
--- a/testsuite/tests/testsuite/settings/declared.rs
+++ b/testsuite/tests/testsuite/settings/declared.rs
@@ -1,4 +1,5 @@
-//! Declarations: faults of meaning, differences, and the revision in force.
+//! Declarations: validation across keys, differences between revisions, and the
+//! revision in force.
 
 use std::sync::Arc;
 
@@ -6,7 +7,7 @@
 use verbenahitch::config::{Current, Declarations, diff, token_digest};
 use verbenahitch::settings::{SettingsError, parse_declarations};
 
-fn text(profile: &str, extra: &str) -> String {
+fn document(profile: &str, extra: &str) -> String {
     let digest = token_digest("secret");
     format!(
         r#"{{
@@ -35,7 +36,7 @@
         r#"7:94: kinds.gate-sync.path: found "gate", a path starts with /"#,
         r#"7:113: kinds.gate-sync.profile: profile "gate" is not declared"#,
     ],
-}; "unknown profile and bad path")]
+}; "undeclared profile and relative path")]
 #[test_case(Case {
     profile: r#", "max-slowdown": 0.5, "worht": 1"#,
     extra: "",
@@ -43,9 +44,9 @@
         "5:92: profiles.quote.max-slowdown: found 0.5, allowed is a number from 1.0 to 100.0",
         r#"5:97: profiles.quote.worht: is not a known key, the nearest is "worth""#,
     ],
-}; "limits and unknown key")]
-fn every_fault_has_its_place(case: Case) {
-    let text = text(case.profile, case.extra);
+}; "value below its minimum and unknown key")]
+fn faults_are_reported_with_line_column_and_path(case: Case) {
+    let text = document(case.profile, case.extra);
     let error = parse_declarations("d.jsonc", &text).expect_err("the text has a fault");
     let SettingsError::Faulty { faults, .. } = &error else {
         panic!("unexpected error: {error}");
@@ -55,9 +56,9 @@
 }
 
 #[test]
-fn fine_declarations_find_kinds_by_the_longest_path() {
+fn kind_with_the_longest_matching_path_is_found() {
     let extra = r#", "priced": {"path": "/pass-quote/priced", "profile": "quote"}"#;
-    let declared = parse_declarations("d.jsonc", &text("", extra)).expect("no faults");
+    let declared = parse_declarations("d.jsonc", &document("", extra)).expect("no faults");
     let kind = |path| declared.kind_of(path).map(|(name, _)| name);
     assert_eq!(kind("/pass-quote/1"), Some("pass-quote"));
     assert_eq!(kind("/pass-quote/priced/1"), Some("priced"));
@@ -68,8 +69,8 @@
 }
 
 #[test]
-fn shards_that_may_hold_jobs_stay() {
-    let before = parse_declarations("d.jsonc", &text("", "")).expect("no faults");
+fn removing_a_shard_or_zone_that_may_hold_jobs_is_a_fault() {
+    let before = parse_declarations("d.jsonc", &document("", "")).expect("no faults");
     let faults = |change: &dyn Fn(&mut Declarations)| -> Vec<String> {
         let mut after = before.clone();
         change(&mut after);
@@ -88,8 +89,8 @@
 }
 
 #[test]
-fn differences_name_each_key() {
-    let before = parse_declarations("d.jsonc", &text("", "")).expect("no faults");
+fn diff_lists_each_changed_key() {
+    let before = parse_declarations("d.jsonc", &document("", "")).expect("no faults");
     let mut after = before.clone();
     after.revision = 7;
     after.profiles.get_mut("quote").expect("declared").worth = 20;
@@ -108,7 +109,7 @@
 }
 
 #[test]
-fn a_revision_in_force_never_goes_back() {
+fn older_or_equal_revision_is_not_put_in_force() {
     let current = Current::default();
     let revision = |revision| {
         Arc::new(Declarations {
--- a/testsuite/tests/testsuite/settings/faults.rs
+++ b/testsuite/tests/testsuite/settings/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of settings: all of them in one run, each with its place.
+//! Validation of settings: all faults are reported at once, each with its line and column.
 
 use test_case::test_case;
 use verbenahitch::settings::{Fallback, SETTINGS, SettingsError, Shape, parse_settings};
@@ -38,7 +38,7 @@
     replace: r#""zone": "a","#,
     by: r#""zone": "a", "zone": "b","#,
     faults: &["4:16: zone: stands twice"],
-}; "key twice")]
+}; "duplicate key")]
 #[test_case(Case {
     replace: r#""metrics": "127.0.0.1:8003""#,
     by: r#""metrics": "127.0.0.1:8003", "sinc-ms": 5, "commit-ms": 0, "mark-ahead": -1"#,
@@ -47,22 +47,22 @@
         "13:73: scheduler.commit-ms: found 0, allowed is a whole number from 1 to 10000",
         "13:90: scheduler.mark-ahead: found -1, allowed is a whole number from 0 to 10000",
     ],
-}; "several in one run")]
+}; "several faults in one file")]
 #[test_case(Case {
     replace: r#""metrics": "127.0.0.1:8003""#,
     by: r#""metrics": "127.0.0.1:8003", "sync-ms": 9007199254740993"#,
     faults: &["13:57: scheduler.sync-ms: found 9007199254740993, allowed is a whole number from 50 to 60000"],
-}; "number beyond two to the 53rd")]
+}; "integer above two to the power of 53")]
 #[test_case(Case {
     replace: r#""metrics": "127.0.0.1:8003""#,
     by: r#""metrics": "127.0.0.1:8003", "sync-ms": 1.5"#,
     faults: &["13:57: scheduler.sync-ms: found 1.5, allowed is a whole number from 50 to 60000"],
-}; "fraction")]
+}; "fraction instead of an integer")]
 #[test_case(Case {
     replace: r#""store": "127.0.0.1:8500""#,
     by: r#""store": "store.example:8500""#,
     faults: &[r#"5:25: platform.store: found "store.example:8500", allowed is an address as ip:port"#],
-}; "host name in place of an address")]
+}; "host name instead of an address")]
 #[test_case(Case {
     replace: r#""seeds": [{"address": "127.0.0.1:7001"}]"#,
     by: r#""seeds": {}"#,
@@ -72,20 +72,20 @@
     replace: r#""operators": "127.0.0.1:8001""#,
     by: r#""operators": "127.0.0.1:8000""#,
     faults: &["9:18: gateway.operators: found 127.0.0.1:8000, which gateway.callers has already"],
-}; "address twice")]
+}; "address shared by two listeners")]
 #[test_case(Case {
     replace: r#""metrics": "127.0.0.1:8003""#,
     by: r#""metrics": "127.0.0.1:8003", "task-lease-ms": 4000"#,
     faults: &["13:63: scheduler.task-lease-ms: found 4000, allowed is at least twice sync-ms and sync-timeout-ms together (6000)"],
-}; "lease shorter than two syncs")]
+}; "lease shorter than two syncs and their timeouts")]
 #[test_case(Case {
     replace: r#""name": "entry-a1","#,
     by: r#""name": "entry-a1"#,
     faults: &["4:4: Unexpected token"],
-}; "malformed text")]
-fn every_fault_has_its_place(case: Case) {
+}; "syntax error")]
+fn faults_are_reported_with_line_column_and_path(case: Case) {
     let text = MINIMAL.replace(case.replace, case.by);
-    assert_ne!(text, MINIMAL, "the case changes nothing");
+    assert_ne!(text, MINIMAL, "the case does not change the settings");
     let error = parse_settings("entry.jsonc", &text).expect_err("the text has a fault");
     let SettingsError::Faulty { faults, .. } = &error else {
         panic!("unexpected error: {error}");
@@ -96,30 +96,30 @@
         .to_string()
         .lines()
         .all(|line| line.starts_with("entry.jsonc:"));
-    assert!(named, "every line names the file: {error}");
+    assert!(named, "not every line starts with the file name: {error}");
 }
 
 #[test_case(""; "empty")]
 #[test_case("// Only a comment."; "only a comment")]
 #[test_case("[]"; "a list")]
 #[test_case("null"; "null")]
-fn documents_of_another_kind_are_refused(text: &str) {
+fn documents_other_than_an_object_are_rejected(text: &str) {
     assert!(parse_settings("entry.jsonc", text).is_err());
 }
 
 #[test]
-fn defaults_of_the_table_are_those_of_the_type() {
-    let short = parse_settings("short", MINIMAL).expect("minimal settings are fine");
+fn defaults_in_the_table_match_those_of_the_type() {
+    let implicit = parse_settings("short", MINIMAL).expect("minimal settings are valid");
     let mut value: serde_json::Value =
         serde_json::to_value(parse_settings("short", MINIMAL).unwrap()).unwrap();
-    let count = fill(&SETTINGS, &mut value);
+    let count = fill_defaults(&SETTINGS, &mut value);
     assert!(count > 20, "only {count} defaults were compared");
-    let long = parse_settings("long", &value.to_string()).expect("defaults are allowed");
-    assert_eq!(short, long);
+    let explicit = parse_settings("long", &value.to_string()).expect("defaults are allowed");
+    assert_eq!(implicit, explicit);
 }
 
-/// Sets every key that has a default to the table's default; counts them.
-fn fill(shape: &Shape, value: &mut serde_json::Value) -> usize {
+/// Sets every key that has a default in the table to that default; returns their number.
+fn fill_defaults(shape: &Shape, value: &mut serde_json::Value) -> usize {
     let (Shape::Object(fields), Some(object)) = (shape, value.as_object_mut()) else {
         return 0;
     };
@@ -132,7 +132,7 @@
             count += 1;
         }
         if let Some(inner) = object.get_mut(field.key) {
-            count += fill(&field.shape, inner);
+            count += fill_defaults(&field.shape, inner);
         }
     }
     count
--- a/testsuite/tests/testsuite/settings/manual.rs
+++ b/testsuite/tests/testsuite/settings/manual.rs
@@ -1,6 +1,6 @@
-//! The manual's tables match the program.
+//! The tables in the manual match the tables in the code.
 //!
-//! Set `VERBENAHITCH_WRITE_MANUAL=1` to write the pages anew.
+//! Set `VERBENAHITCH_WRITE_MANUAL=1` to regenerate the pages.
 
 use std::fmt::Write as _;
 use std::path::PathBuf;
@@ -40,14 +40,14 @@
 #[test]
 fn settings_page_matches_the_table() {
     let mut page = SETTINGS_HEAD.to_owned();
-    rows("", &SETTINGS, &mut page);
+    write_rows("", &SETTINGS, &mut page);
     assert_page("SETTINGS.md", &page);
 }
 
 #[test]
 fn declarations_page_matches_the_table() {
     let mut page = DECLARATIONS_HEAD.to_owned();
-    rows("", &DECLARATIONS, &mut page);
+    write_rows("", &DECLARATIONS, &mut page);
     assert_page("DECLARATIONS.md", &page);
 }
 
@@ -78,7 +78,7 @@
     assert_eq!(names.len(), Kind::ALL.len());
 }
 
-fn rows(path: &str, shape: &Shape, page: &mut String) {
+fn write_rows(path: &str, shape: &Shape, page: &mut String) {
     match shape {
         Shape::Object(fields) => {
             for field in *fields {
@@ -99,11 +99,11 @@
                     field.meaning
                 )
                 .unwrap();
-                rows(&key, &field.shape, page);
+                write_rows(&key, &field.shape, page);
             }
         }
-        Shape::Map(inner) => rows(&format!("{path}.<name>"), inner, page),
-        Shape::List(inner) => rows(&format!("{path}[]"), inner, page),
+        Shape::Map(inner) => write_rows(&format!("{path}.<name>"), inner, page),
+        Shape::List(inner) => write_rows(&format!("{path}[]"), inner, page),
         _ => {}
     }
 }
@@ -118,6 +118,6 @@
     let found = std::fs::read_to_string(&path).unwrap_or_default();
     assert_eq!(
         found, expected,
-        "docs/{name} is out of date, write it anew with VERBENAHITCH_WRITE_MANUAL=1"
+        "docs/{name} is out of date, regenerate it with VERBENAHITCH_WRITE_MANUAL=1"
     );
 }
--- a/testsuite/tests/testsuite/settings/mod.rs
+++ b/testsuite/tests/testsuite/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings, declarations and the command line.
+//! Settings and declarations, and the manual pages that list them.
 
 mod declared;
 mod faults;
