--- a/crates/verbenahitch/src/membership/choice.rs
+++ b/crates/verbenahitch/src/membership/choice.rs
@@ -1,63 +1,68 @@
 //! Which scheduler should own a shard.
 //!
 //! Every scheduler ranks all candidates of a shard by the same hash of shard
-//! and name (rendezvous hashing), so that they agree without talking and a
-//! restart moves only the shards of the restarted one. The store's lock decides
-//! in the end; the ranking keeps them from all asking for it at once.
+//! and name (rendezvous hashing), so that they agree without communication and
+//! a restart moves only the shards of the restarted scheduler. The lock in the
+//! store decides who owns a shard; the ranking keeps the candidates from all
+//! requesting it at once.
 
 use sha2::{Digest, Sha256};
 
 use super::{Member, Role};
 use crate::domain::{Millis, ShardId};
 
-/// Time that each better ranked candidate gets to take the shard, in milliseconds.
+/// Delay per better-ranked candidate before a scheduler tries to acquire a shard, in milliseconds.
 const STAGGER_MS: Millis = 1_000;
 
-/// Time after which schedulers of other zones take a shard whose zone has none, in milliseconds.
-const FOREIGN_DELAY_MS: Millis = 5_000;
+/// Additional delay for schedulers of other zones, in milliseconds: they acquire a shard
+/// only if its own zone has no scheduler that does.
+const OTHER_ZONE_DELAY_MS: Millis = 5_000;
 
-/// Age of the store's last answer above which a scheduler cannot take a shard, in milliseconds.
-const STORE_LOST_MS: Millis = 5_000;
+/// Age of the store's last answer above which a scheduler cannot acquire a shard, in milliseconds.
+const MAX_STORE_AGE_MS: Millis = 5_000;
 
-/// Whether a scheduler should try to take a shard that nobody is known to own.
+/// Whether a scheduler should try to acquire a shard that has no known owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Choice {
-    /// It is the preferred owner.
+    /// Try now: it is the preferred owner.
     Now,
-    /// Others come first; try if the shard is still free after this time.
+    /// Others are preferred; try if the shard still has no owner after this time.
     After(Millis),
     /// Another process owns the shard.
     No,
 }
 
 impl Choice {
-    /// Choice of the scheduler `me` among `members` (itself included), of whom
-    /// those heard within `timeout_ms` are live.
-    pub fn of(shard: &ShardId, me: &str, members: &[Member], timeout_ms: Millis) -> Self {
+    /// Choice of the scheduler `own_name` among `members` (itself included), of
+    /// which those heard within `timeout_ms` are live.
+    pub fn of(shard: &ShardId, own_name: &str, members: &[Member], timeout_ms: Millis) -> Self {
         let live = |member: &&Member| member.is_live(timeout_ms) && !member.leaving;
         let name = shard.to_string();
         if members
             .iter()
             .filter(live)
-            .any(|m| owns(m, &name) && m.name != me)
+            .any(|m| owns(m, &name) && m.name != own_name)
         {
             return Self::No;
         }
-        let able = |member: &&Member| {
-            let store = member.store_age_ms.is_some_and(|age| age <= STORE_LOST_MS);
-            member.role == Role::Scheduler && (store || member.name == me)
+        let eligible = |member: &&Member| {
+            let store = member
+                .store_age_ms
+                .is_some_and(|age| age <= MAX_STORE_AGE_MS);
+            member.role == Role::Scheduler && (store || member.name == own_name)
         };
-        let all: Vec<&Member> = members.iter().filter(live).filter(able).collect();
-        let (home, away): (Vec<_>, Vec<_>) = all.into_iter().partition(|m| m.zone == shard.zone);
-        if let Some(rank) = rank(&name, me, &home) {
+        let candidates: Vec<&Member> = members.iter().filter(live).filter(eligible).collect();
+        let (same_zone, other_zones): (Vec<_>, Vec<_>) =
+            candidates.into_iter().partition(|m| m.zone == shard.zone);
+        if let Some(rank) = rank(&name, own_name, &same_zone) {
             return Self::ranked(rank, 0);
         }
-        if !home.is_empty() {
-            return Self::ranked(home.len() + 1, FOREIGN_DELAY_MS);
+        if !same_zone.is_empty() {
+            return Self::ranked(same_zone.len() + 1, OTHER_ZONE_DELAY_MS);
         }
         Self::ranked(
-            rank(&name, me, &away).unwrap_or(away.len()),
-            FOREIGN_DELAY_MS,
+            rank(&name, own_name, &other_zones).unwrap_or(other_zones.len()),
+            OTHER_ZONE_DELAY_MS,
         )
     }
 
@@ -70,59 +75,63 @@
     }
 }
 
-/// A shard that `me` should hand to another scheduler, at most one at a time.
+/// Shard that `own_name` should release for another scheduler, at most one at a time.
 ///
-/// A shard of another zone goes home as soon as the zone has a scheduler. A
-/// shard of the own zone goes only if another scheduler owns at least two fewer,
-/// so that a restart does not move shards to and fro.
-pub fn surplus(me: &str, members: &[Member], timeout_ms: Millis) -> Option<String> {
-    let able = |member: &&Member| {
+/// A shard of another zone is released as soon as that zone has a scheduler. A
+/// shard of the own zone is released only if another scheduler of the zone owns
+/// at least two fewer, so that a restart does not move shards back and forth.
+pub fn surplus(own_name: &str, members: &[Member], timeout_ms: Millis) -> Option<String> {
+    let eligible = |member: &&Member| {
         member.role == Role::Scheduler
             && member.is_live(timeout_ms)
             && !member.leaving
-            && member.store_age_ms.is_some_and(|age| age <= STORE_LOST_MS)
+            && member
+                .store_age_ms
+                .is_some_and(|age| age <= MAX_STORE_AGE_MS)
     };
-    let able: Vec<&Member> = members.iter().filter(able).collect();
-    let mine = able.iter().find(|member| member.name == me)?;
+    let eligible: Vec<&Member> = members.iter().filter(eligible).collect();
+    let own = eligible.iter().find(|member| member.name == own_name)?;
     let zone_of = |shard: &str| {
         shard
             .rsplit_once('-')
             .map_or("", |(zone, _)| zone)
             .to_owned()
     };
-    let foreign = mine.shards.iter().find(|owned| {
+    let in_other_zone = own.shards.iter().find(|owned| {
         let zone = zone_of(&owned.shard);
-        zone != mine.zone && able.iter().any(|member| member.zone == zone)
+        zone != own.zone && eligible.iter().any(|member| member.zone == zone)
     });
-    if let Some(owned) = foreign {
+    if let Some(owned) = in_other_zone {
         return Some(owned.shard.clone());
     }
-    let others = able.iter().filter(|m| m.zone == mine.zone && m.name != me);
-    let least = others.map(|member| member.shards.len()).min()?;
-    if mine.shards.len() < least + 2 {
+    let others = eligible
+        .iter()
+        .filter(|m| m.zone == own.zone && m.name != own_name);
+    let fewest = others.map(|member| member.shards.len()).min()?;
+    if own.shards.len() < fewest + 2 {
         return None;
     }
-    let smallest = mine
+    let least_running = own
         .shards
         .iter()
         .min_by_key(|owned| (owned.running, &owned.shard));
-    smallest.map(|owned| owned.shard.clone())
+    least_running.map(|owned| owned.shard.clone())
 }
 
 fn owns(member: &Member, shard: &str) -> bool {
     member.shards.iter().any(|owned| owned.shard == shard)
 }
 
-/// Number of candidates that are preferred to `me`, if `me` is one.
-fn rank(shard: &str, me: &str, candidates: &[&Member]) -> Option<usize> {
-    // A fast hash is too alike for names that differ in one digit.
+/// Number of candidates that are preferred to `own_name`, if it is one itself.
+fn rank(shard: &str, own_name: &str, candidates: &[&Member]) -> Option<usize> {
+    // The values of a fast hash are too similar for names that differ in one digit.
     let weight = |name: &str| Sha256::digest(format!("{shard} {name}"));
-    candidates.iter().find(|member| member.name == me)?;
-    let mine = weight(me);
+    candidates.iter().find(|member| member.name == own_name)?;
+    let own_weight = weight(own_name);
     Some(
         candidates
             .iter()
-            .filter(|member| weight(&member.name) > mine)
+            .filter(|member| weight(&member.name) > own_weight)
             .count(),
     )
 }
--- a/crates/verbenahitch/src/membership/member.rs
+++ b/crates/verbenahitch/src/membership/member.rs
@@ -7,7 +7,7 @@
 
 use crate::domain::{Millis, Monotonic};
 
-/// What a process does.
+/// Role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
@@ -31,7 +31,7 @@
     pub running: u32,
 }
 
-/// What is known of one process.
+/// Record of one process, as of its last heartbeat that is known.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Member {
@@ -39,7 +39,7 @@
     pub name: String,
     /// Availability zone.
     pub zone: String,
-    /// What it does.
+    /// Role.
     pub role: Role,
     /// Address of its peer interface.
     pub address: SocketAddr,
@@ -61,7 +61,7 @@
     pub age_ms: Millis,
 }
 
-/// What changes with every heartbeat of a process.
+/// Part of a record that changes with every heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Beat {
     /// Hash of name, role and incarnation.
@@ -78,7 +78,7 @@
     pub permit_left_ms: Millis,
 }
 
-/// What a process has said of the store, with the time of saying.
+/// Report of a process on its contact with the store, with bounds on when it was made.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Testimony {
     /// Name of the process.
@@ -87,11 +87,11 @@
     pub zone: String,
     /// Revision that it had in force.
     pub revision: u64,
-    /// When it was last heard, as told; an underestimate of the age.
+    /// Latest time at which the process may have been heard; its true age can be higher.
     pub heard: Monotonic,
-    /// Instant after which it certainly said this; `None` if none is known.
+    /// Time after which the report was certainly made; `None` if unknown.
     pub proven: Option<Monotonic>,
-    /// Milliseconds since the store had last answered it; `None` for never.
+    /// Milliseconds since the store last answered it, when it reported; `None` for never.
     pub store_age_ms: Option<Millis>,
 }
 
@@ -114,7 +114,7 @@
         head.iter().fold(0, |sum, byte| sum << 8 | u64::from(*byte))
     }
 
-    /// What changes with every heartbeat.
+    /// Beat of the record, for relaying.
     pub fn pulse(&self) -> Beat {
         Beat {
             id: self.id(),
--- a/crates/verbenahitch/src/membership/mod.rs
+++ b/crates/verbenahitch/src/membership/mod.rs
@@ -1,8 +1,9 @@
-//! What a process knows of the others, and what follows from it.
+//! Membership: what a process knows of its peers, and which scheduler should own
+//! a shard.
 //!
-//! [`Table`] merges the records that heartbeats bring; [`Choice`] says which
-//! scheduler should own a shard. Both are free of I/O and take the time as an
-//! argument.
+//! [`Table`] merges the records that heartbeats bring; [`Choice`] decides whether a
+//! scheduler should try to acquire a shard. Both do no I/O and take the time as
+//! an argument.
 
 mod choice;
 mod member;
--- a/crates/verbenahitch/src/membership/table.rs
+++ b/crates/verbenahitch/src/membership/table.rs
@@ -1,12 +1,12 @@
 //! Table of all processes that this one has heard of.
 //!
-//! State is taken from answers only, and carries the instant after which the
-//! process certainly made it: the sending of the request that was answered,
-//! less the age in the answer. A greeting that arrives unasked may have been
-//! delayed for any time; it only tells that the sender exists.
+//! State is taken only from answers. Each record carries a lower bound of the
+//! time at which its process made it: the time at which the answered request was
+//! sent, less the age given in the answer. An unsolicited greeting may have been
+//! delayed for any time, so it only shows that the sender exists.
 //!
-//! A record is replaced only by a later one: a higher incarnation, or a higher
-//! beat of the same.
+//! A record is replaced only by a later one: one with a higher incarnation, or
+//! with a higher beat of the same incarnation.
 
 use std::collections::BTreeMap;
 
@@ -14,47 +14,47 @@
 use crate::collections::HashMap;
 use crate::domain::{Millis, Monotonic};
 
-/// Time for which a process that is no longer heard is remembered, in milliseconds.
-const FORGET_MS: Millis = 3_600_000;
+/// Time for which the record of a process that is no longer heard is kept, in milliseconds.
+const RECORD_RETENTION_MS: Millis = 3_600_000;
 
 type Key = (String, Role);
 
 /// Records of the other processes.
 #[derive(Clone, Debug)]
 pub struct Table {
-    me: Key,
+    own_key: Key,
     timeout_ms: Millis,
-    known: BTreeMap<Key, Known>,
+    known: BTreeMap<Key, PeerEntry>,
     ids: HashMap<u64, Key>,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct PeerEntry {
     record: Member,
     heard: Monotonic,
-    proven: Option<Monotonic>,
+    made_after: Option<Monotonic>,
     live: bool,
 }
 
-/// What a record has told.
+/// Result of merging a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Learnt {
     /// Nothing new.
     Nothing,
-    /// A later record of a process that was heard before.
+    /// A later record of a live process.
     Newer,
-    /// A process that was unknown, has restarted, or was not heard for a while.
+    /// A process that was unknown, has restarted, or had timed out.
     Arrived,
     /// A record under this process's own name.
     Myself,
 }
 
 impl Table {
-    /// Creates the table of the process `name`, whose peers are presumed gone
-    /// after `timeout_ms` of silence.
+    /// Creates the table of the process `name`, whose peers count as lost when
+    /// they have not been heard for `timeout_ms`.
     pub fn new(name: &str, role: Role, timeout_ms: Millis) -> Self {
         Self {
-            me: (name.to_owned(), role),
+            own_key: (name.to_owned(), role),
             timeout_ms,
             known: BTreeMap::new(),
             ids: HashMap::default(),
@@ -63,23 +63,23 @@
 
     /// Merges a record from an answer to a request that was sent at `sent`.
     pub fn learn(&mut self, record: Member, sent: Monotonic) -> Learnt {
-        let proven = sent - record.age_ms;
-        let Some(known) = self.held(&record) else {
-            return self.insert(record, proven, Some(proven));
+        let made_after = sent - record.age_ms;
+        let Some(known) = self.current_entry(&record) else {
+            return self.insert(record, made_after, Some(made_after));
         };
         if record.version() < known.record.version() {
             return Learnt::Nothing;
         }
-        let later = known.renew(record.beat, proven);
+        let later = known.advance(record.beat, made_after);
         if later {
             known.record = record;
         }
-        known.revive(later)
+        known.mark_live(later)
     }
 
     /// Merges a beat from an answer to a request that was sent at `sent`.
     pub fn beat(&mut self, beat: Beat, sent: Monotonic) -> Learnt {
-        let proven = sent - beat.age_ms;
+        let made_after = sent - beat.age_ms;
         let known = self.ids.get(&beat.id);
         let Some(known) = known.and_then(|key| self.known.get_mut(key)) else {
             return Learnt::Nothing;
@@ -87,18 +87,18 @@
         if beat.beat < known.record.beat {
             return Learnt::Nothing;
         }
-        let later = known.renew(beat.beat, proven);
+        let later = known.advance(beat.beat, made_after);
         let record = &mut known.record;
         record.beat = beat.beat;
         record.revision = beat.revision;
         record.store_age_ms = beat.store_age_ms;
         record.permit_left_ms = beat.permit_left_ms;
-        known.revive(later)
+        known.mark_live(later)
     }
 
     /// Merges a greeting that arrived at `now`.
     pub fn greeted(&mut self, record: Member, now: Monotonic) -> Learnt {
-        let Some(known) = self.held(&record) else {
+        let Some(known) = self.current_entry(&record) else {
             return self.insert(record, now, None);
         };
         if record.incarnation < known.record.incarnation {
@@ -106,14 +106,15 @@
         }
         known.heard = known.heard.max(now);
         known.record.leaving |= record.leaving;
-        known.revive(record.beat > known.record.beat)
+        known.mark_live(record.beat > known.record.beat)
     }
 
-    /// Marks as gone who was not heard for the timeout, and returns them.
+    /// Marks the processes that have timed out as lost and returns them; drops
+    /// records that are too old to keep.
     pub fn sweep(&mut self, now: Monotonic) -> Vec<Member> {
         let ids = &mut self.ids;
         self.known.retain(|_, known| {
-            let keep = now.since(known.heard) <= FORGET_MS;
+            let keep = now.since(known.heard) <= RECORD_RETENTION_MS;
             if !keep {
                 ids.remove(&known.record.id());
             }
@@ -123,66 +124,71 @@
         for known in self.known.values_mut() {
             if known.live && now.since(known.heard) > self.timeout_ms {
                 known.live = false;
-                lost.push(known.at(now));
+                lost.push(known.as_of(now));
             }
         }
         lost
     }
 
-    /// Records to pass on, with their ages.
+    /// Records to relay to peers, with their ages.
     pub fn relayed(&self, now: Monotonic) -> Vec<Member> {
         let known = self.known.values();
-        let proven = known.filter_map(|known| Some((known, known.proven?)));
-        let records = proven.map(|(known, proven)| Member {
-            age_ms: now.since(proven),
+        let answered = known.filter_map(|known| Some((known, known.made_after?)));
+        let records = answered.map(|(known, made_after)| Member {
+            age_ms: now.since(made_after),
             ..known.record.clone()
         });
         records.collect()
     }
 
     /// Record of a later incarnation of the process that made `record`.
-    pub fn later(&self, record: &Member) -> Option<&Member> {
+    pub fn later_incarnation(&self, record: &Member) -> Option<&Member> {
         let key = (record.name.clone(), record.role);
         let known = &self.known.get(&key)?.record;
         (known.incarnation > record.incarnation).then_some(known)
     }
 
-    /// All records as of `now`: what each process said, aged since. A process
-    /// that is presumed gone is not taken to own any shard.
+    /// All records, with ages and remaining times as of `now`. A process that
+    /// counts as lost is listed without shards.
     pub fn members(&self, now: Monotonic) -> Vec<Member> {
-        self.known.values().map(|known| known.at(now)).collect()
+        self.known.values().map(|known| known.as_of(now)).collect()
     }
 
-    /// What the processes have said of the store.
+    /// Reports of the processes on their contact with the store.
     pub fn testimonies(&self) -> Vec<Testimony> {
         let testimonies = self.known.values().map(|known| Testimony {
             name: known.record.name.clone(),
             zone: known.record.zone.clone(),
             revision: known.record.revision,
             heard: known.heard,
-            proven: known.proven,
+            proven: known.made_after,
             store_age_ms: known.record.store_age_ms,
         });
         testimonies.collect()
     }
 
-    /// Entry of the same incarnation, or of a later one that hides the record.
-    fn held(&mut self, record: &Member) -> Option<&mut Known> {
+    /// Entry of the same incarnation, or of a later one that supersedes the record.
+    fn current_entry(&mut self, record: &Member) -> Option<&mut PeerEntry> {
         let key = (record.name.clone(), record.role);
         let known = self.known.get_mut(&key)?;
         (known.record.incarnation >= record.incarnation).then_some(known)
     }
 
-    fn insert(&mut self, record: Member, heard: Monotonic, proven: Option<Monotonic>) -> Learnt {
+    fn insert(
+        &mut self,
+        record: Member,
+        heard: Monotonic,
+        made_after: Option<Monotonic>,
+    ) -> Learnt {
         let key = (record.name.clone(), record.role);
-        if key == self.me {
+        if key == self.own_key {
             return Learnt::Myself;
         }
         self.ids.insert(record.id(), key.clone());
-        let known = Known {
+        let known = PeerEntry {
             record,
             heard,
-            proven,
+            made_after,
             live: true,
         };
         if let Some(old) = self.known.insert(key, known) {
@@ -192,20 +198,22 @@
     }
 }
 
-impl Known {
-    /// Notes that the record numbered `beat` was made after `proven`; says whether it is later.
-    fn renew(&mut self, beat: u64, proven: Monotonic) -> bool {
+impl PeerEntry {
+    /// Records that the record numbered `beat` was made after `made_after`;
+    /// returns whether it is later than the one held.
+    fn advance(&mut self, beat: u64, made_after: Monotonic) -> bool {
         let later = beat > self.record.beat;
-        self.heard = self.heard.max(proven);
-        self.proven = if later {
-            Some(proven)
+        self.heard = self.heard.max(made_after);
+        self.made_after = if later {
+            Some(made_after)
         } else {
-            self.proven.max(Some(proven))
+            self.made_after.max(Some(made_after))
         };
         later
     }
 
-    fn revive(&mut self, later: bool) -> Learnt {
+    /// Marks the process as live if its record is a later one.
+    fn mark_live(&mut self, later: bool) -> Learnt {
         if !later {
             return Learnt::Nothing;
         }
@@ -216,7 +224,7 @@
         Learnt::Arrived
     }
 
-    fn at(&self, now: Monotonic) -> Member {
+    fn as_of(&self, now: Monotonic) -> Member {
         let age_ms = now.since(self.heard);
         let record = &self.record;
         Member {
--- a/crates/verbenahitch/src/peer/handle.rs
+++ b/crates/verbenahitch/src/peer/handle.rs
@@ -1,4 +1,4 @@
-//! What the rest of the process uses of the node.
+//! Interface of the node to the rest of the process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,8 +13,8 @@
 use crate::membership::{Member, OwnedShard};
 use crate::scheduler::{Answer, Request};
 
-/// What the node's thread is told to do.
-pub(super) enum Order {
+/// Command to the node's thread.
+pub(super) enum NodeCommand {
     Ask {
         shard: String,
         body: Request,
@@ -36,19 +36,19 @@
 #[derive(Clone)]
 pub struct Handle {
     shared: Arc<Shared>,
-    orders: mpsc::Sender<Order>,
+    commands: mpsc::Sender<NodeCommand>,
     timeout_ms: Millis,
 }
 
 impl Handle {
     pub(super) fn new(
         shared: Arc<Shared>,
-        orders: mpsc::Sender<Order>,
+        commands: mpsc::Sender<NodeCommand>,
         timeout_ms: Millis,
     ) -> Self {
         Self {
             shared,
-            orders,
+            commands,
             timeout_ms,
         }
     }
@@ -63,93 +63,99 @@
         &self.shared.identity.name
     }
 
-    /// Time without a heartbeat after which a process is presumed gone, in milliseconds.
+    /// Time without a heartbeat after which a process counts as lost, in milliseconds.
     pub fn timeout_ms(&self) -> Millis {
         self.timeout_ms
     }
 
-    /// All processes that are known, this one included, also those no longer heard.
+    /// All known processes: this one, the live and the lost ones.
     pub fn members(&self) -> Arc<Vec<Member>> {
         self.shared.members.load_full()
     }
 
-    /// What the other processes have said of the store.
+    /// Reports of the other processes on their contact with the store.
     pub fn evidence(&self) -> Evidence {
         Evidence {
             testimonies: self.shared.testimonies.load_full(),
         }
     }
 
-    /// Tells the others that the store answered a call that was sent at `sent`.
+    /// Publishes that the store answered a call that was sent at `sent`.
     ///
-    /// What the answer said of the declarations must be in force before this is called.
+    /// The declarations that the answer contained must be in force before this is called.
     pub fn set_store_contact(&self, sent: Monotonic) {
         self.shared.set_store_contact(sent);
     }
 
-    /// Sending time of the newest call that the store is known to have answered.
+    /// Sending time of the newest call that the store answered.
     pub fn store_contact(&self) -> Option<Monotonic> {
         self.shared.store_contact()
     }
 
-    /// Tells the others which shards this process owns.
+    /// Publishes which shards this process owns.
     pub fn set_shards(&self, shards: Vec<OwnedShard>) {
         self.shared.shards.store(Arc::new(shards));
     }
 
-    /// Tells the others until when this process may start tasks.
+    /// Publishes until when this process may start tasks.
     pub fn set_permit(&self, until: Monotonic) {
         self.shared.set_permit(until);
     }
 
-    /// Tells the others that this process was told to stop.
+    /// Publishes that this process is stopping.
     pub fn set_leaving(&self) {
         self.shared.leaving.store(true, Ordering::Relaxed);
     }
 
-    /// Renews sessions through `store` for processes that cannot reach it.
+    /// Enables renewing store sessions through `store` for processes that cannot reach it.
     pub fn serve_renewals(&self, store: Store) {
         self.shared.store.store(Some(Arc::new(store)));
     }
 
-    /// Asks the owner of `shard` with the highest epoch that is known.
+    /// Sends a request to the owner of `shard` with the highest known epoch.
     pub async fn ask(&self, shard: &str, request: Request) -> Answer {
         let (reply, answer) = oneshot::channel();
-        let order = Order::Ask {
+        let command = NodeCommand::Ask {
             shard: shard.to_owned(),
             body: request,
             reply,
         };
-        if self.orders.send(order).await.is_err() {
+        if self.commands.send(command).await.is_err() {
             return unavailable("this process is stopping".to_owned());
         }
         let answer = answer.await;
         answer.unwrap_or_else(|_| unavailable("this process has stopped".to_owned()))
     }
 
-    /// Hands the declarations in force to every process that is heard, and waits for their answers.
+    /// Sends the declarations in force to every live process, and waits for the answers.
     pub async fn announce(&self) {
         let (done, ended) = oneshot::channel();
-        if self.orders.send(Order::Announce { done }).await.is_ok() {
+        if self
+            .commands
+            .send(NodeCommand::Announce { done })
+            .await
+            .is_ok()
+        {
             let _ = ended.await;
         }
     }
 
-    /// Renews a store session through processes that reach the store; `None` if none does.
+    /// Renews a store session through a process that reaches the store; `None` if none answers.
     pub async fn renew(&self, session: &str) -> Option<bool> {
         let (reply, answer) = oneshot::channel();
-        let order = Order::Renew {
+        let command = NodeCommand::Renew {
             session: session.to_owned(),
             reply,
         };
-        self.orders.send(order).await.ok()?;
+        self.commands.send(command).await.ok()?;
         answer.await.ok()?
     }
 
-    /// Finishes what is under way, tells the others, and stops listening.
+    /// Finishes the commands in progress, tells peers that this process is leaving, and stops
+    /// listening.
     pub async fn stop(self) {
         let (done, ended) = oneshot::channel();
-        if self.orders.send(Order::Stop { done }).await.is_ok() {
+        if self.commands.send(NodeCommand::Stop { done }).await.is_ok() {
             let _ = ended.await;
         }
     }
--- a/crates/verbenahitch/src/peer/link.rs
+++ b/crates/verbenahitch/src/peer/link.rs
@@ -1,4 +1,4 @@
-//! Connection to one other process, made anew when it fails.
+//! Link to one other process, which reconnects after a failure.
 
 use std::cell::{Cell, RefCell};
 use std::net::{IpAddr, SocketAddr};
@@ -16,105 +16,108 @@
 use crate::domain::{Millis, Monotonic};
 use crate::peer_capnp::{login, node};
 
-/// Longest wait between two attempts to connect, in milliseconds.
+/// Maximum delay between two attempts to connect, in milliseconds.
 const MAX_BACKOFF_MS: Millis = 5_000;
 
-/// Most words of one message, eight bytes each.
+/// Maximum size of one message, in words of eight bytes.
 pub(super) const MESSAGE_LIMIT_WORDS: usize = 1 << 19;
 
-/// Connection to one address.
+/// Link to one address, with at most one connection.
 pub(super) struct Link {
     address: SocketAddr,
     source: IpAddr,
-    session: RefCell<Option<Rc<Session>>>,
+    connection: RefCell<Option<Rc<Connection>>>,
     failures: Cell<u32>,
     not_before: Cell<Monotonic>,
 }
 
 /// One established connection; dropping it closes it.
-pub(super) struct Session {
+pub(super) struct Connection {
     node: node::Client,
-    progress: Cell<Monotonic>,
+    last_answer: Cell<Monotonic>,
     transport: AbortHandle,
 }
 
-impl Drop for Session {
+impl Drop for Connection {
     fn drop(&mut self) {
         self.transport.abort();
     }
 }
 
-impl Session {
-    /// The other process.
+impl Connection {
+    /// Client for the interface of the other process.
     pub(super) fn node(&self) -> &node::Client {
         &self.node
     }
 }
 
 impl Link {
-    /// Creates a link to `address` without connecting; connections will leave from `source`.
+    /// Creates a link to `address` without connecting; connections are made from `source`.
     pub(super) fn new(address: SocketAddr, source: IpAddr) -> Self {
         Self {
             address,
             source,
-            session: RefCell::new(None),
+            connection: RefCell::new(None),
             failures: Cell::new(0),
             not_before: Cell::new(Monotonic::default()),
         }
     }
 
-    /// Whether an attempt to connect must wait longer.
+    /// Whether the link is not connected and must not connect yet.
     pub(super) fn is_backing_off(&self, now: Monotonic) -> bool {
-        self.session.borrow().is_none() && now < self.not_before.get()
+        self.connection.borrow().is_none() && now < self.not_before.get()
     }
 
-    /// Open connection whose last answer came after `since`, or a new one.
+    /// Open connection that has answered at or after `since`, or a new one.
     pub(super) async fn open(
         &self,
         token: &str,
         since: Monotonic,
         now: Monotonic,
-        limit: Duration,
-    ) -> Result<Rc<Session>, CallError> {
-        let open = self.session.borrow().clone();
-        if let Some(session) = open.filter(|session| session.progress.get() >= since) {
-            return Ok(session);
+        timeout: Duration,
+    ) -> Result<Rc<Connection>, CallError> {
+        let open = self.connection.borrow().clone();
+        if let Some(connection) = open.filter(|connection| connection.last_answer.get() >= since) {
+            return Ok(connection);
         }
         let dialled =
-            tokio::time::timeout(limit, dial(self.source, self.address, token, now)).await;
-        let session = match dialled {
-            Ok(Ok(session)) => Rc::new(session),
+            tokio::time::timeout(timeout, dial(self.source, self.address, token, now)).await;
+        let connection = match dialled {
+            Ok(Ok(connection)) => Rc::new(connection),
             Ok(Err(error)) => return Err(self.not_sent(error.to_string())),
-            Err(_) => return Err(self.not_sent("no answer to the login".to_owned())),
+            Err(_) => return Err(self.not_sent("login timed out".to_owned())),
         };
-        self.session.replace(Some(Rc::clone(&session)));
-        Ok(session)
+        self.connection.replace(Some(Rc::clone(&connection)));
+        Ok(connection)
     }
 
-    /// Notes an answer over `session`.
-    pub(super) fn answered(&self, session: &Session, now: Monotonic) {
-        session.progress.set(now);
+    /// Records an answer over `connection`, which resets the backoff.
+    pub(super) fn answered(&self, connection: &Connection, now: Monotonic) {
+        connection.last_answer.set(now);
         self.failures.set(0);
     }
 
-    /// Gives `session` up.
-    pub(super) fn retire(&self, session: &Rc<Session>) {
-        let mut held = self.session.borrow_mut();
-        if held.as_ref().is_some_and(|held| Rc::ptr_eq(held, session)) {
+    /// Closes `connection`.
+    pub(super) fn close(&self, connection: &Rc<Connection>) {
+        let mut held = self.connection.borrow_mut();
+        if held
+            .as_ref()
+            .is_some_and(|held| Rc::ptr_eq(held, connection))
+        {
             *held = None;
         }
-        session.transport.abort();
+        connection.transport.abort();
     }
 
-    /// Puts the next attempt to connect off, longer with each failure in a row.
+    /// Delays the next attempt to connect, with a delay that grows with consecutive failures.
     pub(super) fn back_off(&self, now: Monotonic, base_ms: Millis, rng: &mut impl Rng) {
         let failures = self.failures.get().saturating_add(1);
         self.failures.set(failures);
-        let longest = base_ms
+        let max_ms = base_ms
             .saturating_mul(1 << failures.min(6))
             .clamp(1, MAX_BACKOFF_MS);
-        let wait = rng.random_range(longest / 2..=longest);
-        self.not_before.set(now + wait);
+        let wait_ms = rng.random_range(max_ms / 2..=max_ms);
+        self.not_before.set(now + wait_ms);
     }
 
     fn not_sent(&self, reason: String) -> CallError {
@@ -128,7 +131,7 @@
     address: SocketAddr,
     token: &str,
     now: Monotonic,
-) -> capnp::Result<Session> {
+) -> capnp::Result<Connection> {
     let stream = connect(source, address).await?;
     stream.set_nodelay(true)?;
     let mut rpc = RpcSystem::new(Box::new(network(stream, Side::Client)), None);
@@ -143,14 +146,14 @@
     request.get().set_token(token);
     let response = request.send().promise.await?;
     let node = response.get()?.get_node()?;
-    Ok(Session {
+    Ok(Connection {
         node,
-        progress: Cell::new(now),
+        last_answer: Cell::new(now),
         transport: transport.keep(),
     })
 }
 
-/// Connects from `source`, so that others see each process under one address.
+/// Connects from `source`, so that peers see each process under one address.
 async fn connect(source: IpAddr, address: SocketAddr) -> std::io::Result<TcpStream> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
@@ -173,7 +176,7 @@
     twoparty::VatNetwork::new(read, write, side, options)
 }
 
-/// Ends a task whose handle was not kept, so that a failed login leaves no connection.
+/// Aborts a task unless its handle is kept, so that a failed login leaves no connection.
 struct AbortOnDrop(Option<AbortHandle>);
 
 impl AbortOnDrop {
--- a/crates/verbenahitch/src/peer/local.rs
+++ b/crates/verbenahitch/src/peer/local.rs
@@ -1,4 +1,4 @@
-//! State of the node's own thread, and the calls that it makes.
+//! State local to the node's thread, and the calls that it makes.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 
 use super::Incoming;
 use super::error::CallError;
-use super::link::{Link, Session};
+use super::link::{Connection, Link};
 use super::shared::Shared;
 use super::wire;
 use crate::collections::HashMap;
@@ -22,22 +22,22 @@
 use crate::peer_capnp::node;
 use crate::scheduler::{Answer, Request, SubmitError};
 
-/// Longest time from asking an owner to its answer, in milliseconds.
-pub(super) const ASK_LIMIT_MS: Millis = 5_000;
+/// Timeout of a request to the owner of a shard, in milliseconds.
+pub(super) const ASK_TIMEOUT_MS: Millis = 5_000;
 
-/// Time after which a refused caller may come back, in milliseconds.
-const RETRY_MS: Millis = 1_000;
+/// Time after which a refused caller may retry, in milliseconds.
+const RETRY_AFTER_MS: Millis = 1_000;
 
-/// Most processes that are asked for one renewal.
-const RENEWAL_ATTEMPTS: usize = 3;
+/// Maximum number of processes that are asked for one renewal.
+const MAX_RENEWAL_ATTEMPTS: usize = 3;
 
 /// Age of the store's last answer above which a process is not asked to renew, in milliseconds.
-const STORE_LOST_MS: Millis = 5_000;
+const MAX_STORE_AGE_MS: Millis = 5_000;
 
-/// Accepts a connection whenever it last answered.
+/// Accepts an open connection regardless of when it last answered.
 const ANY_TIME: Monotonic = Monotonic(0);
 
-/// State of the node's thread.
+/// State local to the node's thread.
 pub(super) struct Local {
     pub(super) shared: Arc<Shared>,
     pub(super) table: RefCell<Table>,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Link to `address`.
+    /// Link to `address`, created on first use.
     pub(super) fn link(&self, address: SocketAddr) -> Rc<Link> {
         let mut links = self.links.borrow_mut();
         let source = self.shared.identity.listen.ip();
@@ -76,28 +76,29 @@
         Rc::clone(link.or_insert_with(|| Rc::new(Link::new(address, source))))
     }
 
-    /// Gives up the links to addresses that `keep` does not want.
+    /// Drops the links to addresses for which `keep` is false.
     pub(super) fn prune(&self, keep: impl Fn(SocketAddr) -> bool) {
         self.links.borrow_mut().retain(|address, _| keep(*address));
     }
 
-    /// Connections that have not answered since then may have gone silent.
-    fn lately(&self) -> Monotonic {
+    /// Time since which an open connection must have answered to be used again;
+    /// after a longer silence it may no longer work.
+    fn answered_since(&self) -> Monotonic {
         self.shared.now() - 2 * self.heartbeat_ms
     }
 
-    /// Time limit of a call that needs no store.
-    fn limit(&self) -> Duration {
+    /// Timeout of a call that does not involve the store.
+    fn call_timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms / 3)
     }
 
-    /// Makes one call over the open connection, or over a new one if that has
-    /// not answered since `since`.
+    /// Makes one call over the open connection, or over a new one if the open
+    /// one has not answered since `since`.
     pub(super) async fn call<T, F>(
         &self,
         address: SocketAddr,
         since: Monotonic,
-        limit: Duration,
+        timeout: Duration,
         send: impl FnOnce(&node::Client) -> F,
     ) -> Result<T, CallError>
     where
@@ -106,26 +107,26 @@
         let link = self.link(address);
         let now = self.shared.now();
         let opened = link
-            .open(&self.shared.token, since, now, self.limit())
+            .open(&self.shared.token, since, now, self.call_timeout())
             .await;
-        let session = opened.inspect_err(|_| self.back_off(&link))?;
-        let outcome = tokio::time::timeout(limit, send(session.node())).await;
+        let connection = opened.inspect_err(|_| self.back_off(&link))?;
+        let outcome = tokio::time::timeout(timeout, send(connection.node())).await;
         let reason = match outcome {
             Ok(Ok(answer)) => {
-                link.answered(&session, self.shared.now());
+                link.answered(&connection, self.shared.now());
                 return Ok(answer);
             }
             Ok(Err(error)) => error.to_string(),
-            Err(_) => format!("nothing for {} ms", limit.as_millis()),
+            Err(_) => format!("no answer within {} ms", timeout.as_millis()),
         };
-        self.give_up(&link, &session);
+        self.close_and_back_off(&link, &connection);
         Err(CallError::Unanswered {
             reason: format!("{address}: {reason}"),
         })
     }
 
-    fn give_up(&self, link: &Link, session: &Rc<Session>) {
-        link.retire(session);
+    fn close_and_back_off(&self, link: &Link, connection: &Rc<Connection>) {
+        link.close(connection);
         self.back_off(link);
     }
 
@@ -134,12 +135,12 @@
         link.back_off(now, self.heartbeat_ms, &mut *self.rng.borrow_mut());
     }
 
-    /// Greets the process at `address` and takes in what it knows.
+    /// Greets the process at `address` and merges the records in its answer.
     pub(super) async fn greet(self: Rc<Self>, address: SocketAddr) {
         let sent = self.shared.now();
         let record = self.shared.record();
-        let limit = self.limit();
-        let call = self.call(address, ANY_TIME, limit, |node| {
+        let timeout = self.call_timeout();
+        let call = self.call(address, ANY_TIME, timeout, |node| {
             let mut request = node.hello_request();
             wire::write_member(&record, request.get().init_from());
             async move {
@@ -158,27 +159,28 @@
         };
         let revision = members[0].revision;
         for member in members {
-            self.learn(member, sent);
+            self.merge(member, sent);
         }
         for beat in beats {
             let learnt = self.table.borrow_mut().beat(beat, sent);
             if learnt == Learnt::Arrived {
-                log::debug!("a process is heard again through {address}");
+                log::debug!("a lost process is live again, by a beat relayed from {address}");
             }
         }
         self.publish();
         if revision > self.shared.current.load().revision {
-            self.fetch(address).await;
+            self.fetch_declarations(address).await;
         }
     }
 
-    fn learn(&self, member: Member, sent: Monotonic) {
+    fn merge(&self, member: Member, sent: Monotonic) {
         let learnt = self.table.borrow_mut().learn(member.clone(), sent);
-        self.note(learnt, &member);
+        self.handle_learnt(learnt, &member);
     }
 
-    /// Logs an arrival, and outlives an earlier process of the own name.
-    pub(super) fn note(&self, learnt: Learnt, member: &Member) {
+    /// Logs an arrival; raises the own incarnation above that of an earlier process
+    /// of the same name.
+    pub(super) fn handle_learnt(&self, learnt: Learnt, member: &Member) {
         match learnt {
             Learnt::Nothing | Learnt::Newer => {}
             Learnt::Arrived => Entry::new(Kind::PeerHeard)
@@ -189,13 +191,13 @@
                 .emit(),
             Learnt::Myself => {
                 if member.incarnation > self.shared.incarnation() {
-                    self.shared.outlive(member.incarnation);
+                    self.shared.raise_incarnation(member.incarnation);
                 }
             }
         }
     }
 
-    /// Publishes what the table holds to the rest of the process.
+    /// Publishes the contents of the table to the rest of the process.
     pub(super) fn publish(&self) {
         let table = self.table.borrow();
         let mut members = table.members(self.shared.now());
@@ -204,12 +206,12 @@
         self.shared.testimonies.store(Arc::new(table.testimonies()));
     }
 
-    /// Gets newer declarations from the process at `address`.
-    pub(super) async fn fetch(&self, address: SocketAddr) {
-        let above = self.shared.current.load().revision;
-        let call = self.call(address, ANY_TIME, self.limit(), |node| {
+    /// Fetches newer declarations from the process at `address`.
+    pub(super) async fn fetch_declarations(&self, address: SocketAddr) {
+        let revision = self.shared.current.load().revision;
+        let call = self.call(address, ANY_TIME, self.call_timeout(), |node| {
             let mut request = node.declarations_request();
-            request.get().set_above(above);
+            request.get().set_above(revision);
             async move {
                 let response = request.send().promise.await?;
                 Ok(response.get()?.get_document()?.to_string()?)
@@ -222,11 +224,11 @@
                 // A malformed document is logged and changes nothing.
                 let _ = config::adopt_text(&self.shared.current, &document, &source);
             }
-            Err(error) => log::debug!("declarations not fetched: {error}"),
+            Err(error) => log::debug!("declarations could not be fetched: {error}"),
         }
     }
 
-    /// Hands the declarations in force to every process that is heard.
+    /// Sends the declarations in force to every live process.
     pub(super) async fn announce(self: Rc<Self>) {
         let declarations = self.shared.current.load();
         let Ok(document) = serde_json::to_string(&*declarations) else {
@@ -236,13 +238,13 @@
         let live = members.iter().filter(|member| self.is_peer(member));
         let calls = live.map(|member| {
             let local = Rc::clone(&self);
-            local.hand_over(member.address, declarations.revision, &document)
+            local.send_declarations(member.address, declarations.revision, &document)
         });
         futures::future::join_all(calls).await;
     }
 
-    async fn hand_over(self: Rc<Self>, address: SocketAddr, revision: u64, document: &str) {
-        let call = self.call(address, ANY_TIME, self.limit(), |node| {
+    async fn send_declarations(self: Rc<Self>, address: SocketAddr, revision: u64, document: &str) {
+        let call = self.call(address, ANY_TIME, self.call_timeout(), |node| {
             let mut request = node.announce_request();
             request.get().set_revision(revision);
             request.get().set_document(document);
@@ -252,23 +254,23 @@
             }
         });
         if call.await.is_ok() {
-            // The answer to a greeting is what proves the revision there.
+            // Only the answer to a greeting is taken as evidence of the revision there.
             self.greet(address).await;
         }
     }
 
-    /// Whether `member` is another process that was heard lately.
+    /// Whether `member` is another process that is live.
     pub(super) fn is_peer(&self, member: &Member) -> bool {
         member.address != self.shared.address && member.is_live(self.timeout_ms)
     }
 
-    /// Asks the owner of `shard`.
+    /// Sends a request to the owner of `shard`.
     pub(super) async fn ask(&self, shard: &str, body: &Request) -> Answer {
         let Some(owner) = self.owner(shard) else {
             return unavailable(format!("no owner of shard {shard} is known"));
         };
-        let limit = Duration::from_millis(ASK_LIMIT_MS);
-        let call = self.call(owner, self.lately(), limit, |node| {
+        let timeout = Duration::from_millis(ASK_TIMEOUT_MS);
+        let call = self.call(owner, self.answered_since(), timeout, |node| {
             let mut request = node.ask_request();
             request.get().set_shard(shard);
             let written = wire::write_request(body, request.get().init_request());
@@ -297,24 +299,33 @@
             .map(|(_, member)| member.address)
     }
 
-    /// Renews a store session through a process that reaches the store.
+    /// Renews a store session through a process that reaches the store; `None` if none answers.
     pub(super) async fn renew(&self, session: &str) -> Option<bool> {
         let members = self.shared.members.load_full();
-        let mut able: Vec<&Member> = members
+        let mut candidates: Vec<&Member> = members
             .iter()
             .filter(|member| self.is_peer(member) && !member.leaving)
-            .filter(|member| member.store_age_ms.is_some_and(|age| age <= STORE_LOST_MS))
+            .filter(|member| {
+                member
+                    .store_age_ms
+                    .is_some_and(|age| age <= MAX_STORE_AGE_MS)
+            })
             .collect();
-        able.sort_by_key(|member| member.store_age_ms);
-        for member in able.iter().take(RENEWAL_ATTEMPTS) {
-            let call = self.call(member.address, self.lately(), 2 * self.limit(), |node| {
-                let mut request = node.renew_request();
-                request.get().set_session(session);
-                async move {
-                    let response = request.send().promise.await?;
-                    Ok(response.get()?.get_renewed())
-                }
-            });
+        candidates.sort_by_key(|member| member.store_age_ms);
+        for member in candidates.iter().take(MAX_RENEWAL_ATTEMPTS) {
+            let call = self.call(
+                member.address,
+                self.answered_since(),
+                2 * self.call_timeout(),
+                |node| {
+                    let mut request = node.renew_request();
+                    request.get().set_session(session);
+                    async move {
+                        let response = request.send().promise.await?;
+                        Ok(response.get()?.get_renewed())
+                    }
+                },
+            );
             if let Ok(renewed) = call.await {
                 return Some(renewed);
             }
@@ -325,7 +336,7 @@
 
 /// Refusal of a request that had no effect.
 pub(super) fn unavailable(reason: String) -> Answer {
-    let retry_ms = RETRY_MS;
+    let retry_ms = RETRY_AFTER_MS;
     Answer::Refused(SubmitError::Unavailable { reason, retry_ms })
 }
 
--- a/crates/verbenahitch/src/peer/mod.rs
+++ b/crates/verbenahitch/src/peer/mod.rs
@@ -1,13 +1,14 @@
-//! Messages between the system's own processes over `capnp-rpc`.
+//! Messages between gateways and schedulers over `capnp-rpc`.
 //!
 //! A [`Node`] runs on a thread of its own, because `capnp-rpc` is
 //! single-threaded. The rest of the process uses its [`Handle`], whose reading
 //! methods take no lock and never wait for the node.
 //!
-//! Each heartbeat greets a bounded number of processes, so that the cost of a
-//! process hardly grows with their number; what it learns it passes on. A call
-//! has a time limit, and a connection that let one pass is given up, since open
-//! connections can go silent while new ones work.
+//! Each heartbeat greets a bounded number of processes, so that the cost per
+//! process hardly grows with their number; answers relay what is known of other
+//! processes. Every call has a timeout. A connection on which a call fails or
+//! times out is closed, since an open connection can stop answering while new
+//! ones work.
 
 mod error;
 mod handle;
--- a/crates/verbenahitch/src/peer/node.rs
+++ b/crates/verbenahitch/src/peer/node.rs
@@ -1,4 +1,4 @@
-//! The node's thread: listens, greets others each heartbeat, carries out orders.
+//! The node's thread: listens, greets peers each heartbeat, executes commands.
 
 use std::collections::BTreeSet;
 use std::net::{SocketAddr, TcpListener};
@@ -14,7 +14,7 @@
 use tokio::task::{JoinSet, LocalSet};
 
 use super::error::{ListenSnafu, PeerError, ThreadSnafu};
-use super::handle::{Handle, Order};
+use super::handle::{Handle, NodeCommand};
 use super::local::Local;
 use super::server;
 use super::shared::Shared;
@@ -28,33 +28,33 @@
 
 /// Processes of the own availability zone that one heartbeat of a scheduler greets.
 ///
-/// A gateway starts no tasks and needs no evidence for permits; it greets one
-/// process in all, and learns of changes from schedulers that greet it.
-const NEAR_FANOUT: usize = 2;
+/// A gateway starts no tasks and needs no evidence for permits. It greets only one
+/// process in all, and learns of changes from the schedulers that greet it.
+const SAME_ZONE_FANOUT: usize = 2;
 
 /// Processes of other availability zones that one heartbeat of a scheduler greets.
-const FAR_FANOUT: usize = 1;
+const OTHER_ZONES_FANOUT: usize = 1;
 
-/// Processes that are not heard, to which one heartbeat tries to connect.
+/// Lost processes and unheard seeds to which one heartbeat tries to connect.
 const LOST_FANOUT: usize = 2;
 
-/// Most connections from other processes.
+/// Maximum number of connections from other processes.
 const CONNECTION_LIMIT: usize = 1_024;
 
-/// Most requests that wait for the process's attention.
+/// Maximum number of requests from peers that wait to be handled.
 const INCOMING_LIMIT: usize = 1_024;
 
-/// Most orders that wait for the node's thread.
-const ORDER_LIMIT: usize = 1_024;
+/// Maximum number of commands that wait for the node's thread.
+const COMMAND_LIMIT: usize = 1_024;
 
-/// What a process tells the others of itself.
+/// What a process publishes of itself, fixed at its start.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// Name, unique among the processes of its role.
     pub name: String,
     /// Availability zone.
     pub zone: String,
-    /// What it does.
+    /// Role.
     pub role: Role,
     /// Address to listen on.
     pub listen: SocketAddr,
@@ -67,9 +67,9 @@
 pub struct Incoming {
     /// Shard, as `zone-index`.
     pub shard: String,
-    /// What is asked.
+    /// Request.
     pub request: Request,
-    /// Takes the answer.
+    /// Receives the answer.
     pub reply: oneshot::Sender<Answer>,
 }
 
@@ -83,7 +83,7 @@
 }
 
 impl Node {
-    /// Starts the peer interface; it listens when this returns.
+    /// Starts the peer interface, which is listening when this returns.
     ///
     /// # Errors
     ///
@@ -101,7 +101,7 @@
         Self::start_behind(address, listener, identity, settings, token, current, clock)
     }
 
-    /// Starts the peer interface on `listener`, which the others reach at `address`.
+    /// Starts the peer interface on `listener`, which peers reach at `address`.
     ///
     /// # Errors
     ///
@@ -123,14 +123,17 @@
             .build()
             .context(ThreadSnafu)?;
         let (incoming, requests) = mpsc::channel(INCOMING_LIMIT);
-        let (orders, queue) = mpsc::channel(ORDER_LIMIT);
+        let (commands, receiver) = mpsc::channel(COMMAND_LIMIT);
         let shared = Arc::new(Shared::new(identity, address, token, current, clock));
-        let handle = Handle::new(Arc::clone(&shared), orders, settings.timeout_ms);
+        let handle = Handle::new(Arc::clone(&shared), commands, settings.timeout_ms);
         let settings = settings.clone();
         let run = move || {
             let runner = Runner::new(shared, incoming, &settings);
             let local = LocalSet::new();
-            local.block_on(&runtime, runner.run(listener, queue, settings.heartbeat_ms));
+            local.block_on(
+                &runtime,
+                runner.run(listener, receiver, settings.heartbeat_ms),
+            );
         };
         std::thread::Builder::new()
             .name("peer".to_owned())
@@ -166,7 +169,7 @@
     async fn run(
         self,
         listener: TcpListener,
-        mut queue: mpsc::Receiver<Order>,
+        mut receiver: mpsc::Receiver<NodeCommand>,
         heartbeat_ms: Millis,
     ) {
         let listener = tokio::net::TcpListener::from_std(listener)
@@ -174,7 +177,7 @@
         let mut ticks = tokio::time::interval(Duration::from_millis(heartbeat_ms.max(1)));
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut connections = JoinSet::new();
-        let mut asks = JoinSet::new();
+        let mut in_progress = JoinSet::new();
         loop {
             tokio::select! {
                 _ = ticks.tick() => self.heartbeat(),
@@ -183,19 +186,19 @@
                         let local = Rc::clone(&self.local);
                         connections.spawn_local(server::serve(local, stream, from));
                     }
-                    Ok((_, from)) => log::warn!("too many connections, {from} was refused"),
-                    Err(error) => log::warn!("a connection could not be accepted: {error}"),
+                    Ok((_, from)) => log::warn!("refused connection from {from}: limit reached"),
+                    Err(error) => log::warn!("connection could not be accepted: {error}"),
                 },
                 Some(_) = connections.join_next() => {}
-                Some(_) = asks.join_next() => {}
-                order = queue.recv() => match order {
-                    Some(Order::Stop { done }) => {
-                        self.stop(&mut asks).await;
+                Some(_) = in_progress.join_next() => {}
+                command = receiver.recv() => match command {
+                    Some(NodeCommand::Stop { done }) => {
+                        self.stop(&mut in_progress).await;
                         let _ = done.send(());
                         return;
                     }
-                    Some(order) => {
-                        asks.spawn_local(carry_out(Rc::clone(&self.local), order));
+                    Some(command) => {
+                        in_progress.spawn_local(execute(Rc::clone(&self.local), command));
                     }
                     None => return,
                 },
@@ -220,7 +223,7 @@
         self.prune();
     }
 
-    /// Addresses to greet this time.
+    /// Addresses to greet in this heartbeat.
     fn targets(&self) -> BTreeSet<SocketAddr> {
         let shared = &self.local.shared;
         let members = shared.members.load_full();
@@ -233,23 +236,27 @@
             wanted.map(|member| member.address).collect::<Vec<_>>()
         };
         let zone = &shared.identity.zone;
-        let near = addresses(&live, &|member| member.zone == *zone);
-        let far = addresses(&live, &|member| member.zone != *zone);
+        let same_zone = addresses(&live, &|member| member.zone == *zone);
+        let other_zones = addresses(&live, &|member| member.zone != *zone);
         let heard: BTreeSet<SocketAddr> = addresses(&live, &|_| true).into_iter().collect();
-        let mut missing = addresses(&lost, &|_| true);
-        missing.extend(self.seeds.iter().filter(|seed| !heard.contains(seed)));
-        missing.retain(|address| {
+        let mut unheard = addresses(&lost, &|_| true);
+        unheard.extend(self.seeds.iter().filter(|seed| !heard.contains(seed)));
+        unheard.retain(|address| {
             let link = self.local.link(*address);
             !link.is_backing_off(shared.now())
         });
-        let (near_count, far_count) = match shared.identity.role {
-            Role::Scheduler => (NEAR_FANOUT, FAR_FANOUT),
-            Role::Gateway if near.is_empty() => (0, 1),
+        let (same_zone_count, other_zones_count) = match shared.identity.role {
+            Role::Scheduler => (SAME_ZONE_FANOUT, OTHER_ZONES_FANOUT),
+            Role::Gateway if same_zone.is_empty() => (0, 1),
             Role::Gateway => (1, 0),
         };
         let rng = &mut *self.local.rng.borrow_mut();
         let mut targets = BTreeSet::new();
-        for (mut group, count) in [(near, near_count), (far, far_count), (missing, LOST_FANOUT)] {
+        for (mut group, count) in [
+            (same_zone, same_zone_count),
+            (other_zones, other_zones_count),
+            (unheard, LOST_FANOUT),
+        ] {
             group.shuffle(rng);
             targets.extend(group.into_iter().take(count));
         }
@@ -263,9 +270,9 @@
         });
     }
 
-    /// Finishes what is under way and tells the others.
-    async fn stop(&self, asks: &mut JoinSet<()>) {
-        while asks.join_next().await.is_some() {}
+    /// Finishes the commands in progress and tells peers that this process is leaving.
+    async fn stop(&self, in_progress: &mut JoinSet<()>) {
+        while in_progress.join_next().await.is_some() {}
         let shared = &self.local.shared;
         shared
             .leaving
@@ -276,19 +283,19 @@
     }
 }
 
-async fn carry_out(local: Rc<Local>, order: Order) {
-    match order {
-        Order::Ask { shard, body, reply } => {
+async fn execute(local: Rc<Local>, command: NodeCommand) {
+    match command {
+        NodeCommand::Ask { shard, body, reply } => {
             let _ = reply.send(local.ask(&shard, &body).await);
         }
-        Order::Announce { done } => {
+        NodeCommand::Announce { done } => {
             local.announce().await;
             let _ = done.send(());
         }
-        Order::Renew { session, reply } => {
+        NodeCommand::Renew { session, reply } => {
             let _ = reply.send(local.renew(&session).await);
         }
-        Order::Stop { done } => {
+        NodeCommand::Stop { done } => {
             let _ = done.send(());
         }
     }
--- a/crates/verbenahitch/src/peer/server.rs
+++ b/crates/verbenahitch/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! What this process answers to the others.
+//! Server side of the peer interface.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 
 use super::Incoming;
 use super::link::network;
-use super::local::{ASK_LIMIT_MS, Local, unavailable};
+use super::local::{ASK_TIMEOUT_MS, Local, unavailable};
 use super::wire;
 use crate::config;
 use crate::domain::Millis;
@@ -24,14 +24,14 @@
 use crate::peer_capnp::{login, node};
 use crate::scheduler::Answer;
 
-/// Longest time from the connection to the login, in milliseconds.
-const LOGIN_LIMIT_MS: Millis = 2_000;
+/// Maximum time from the connection to the login, in milliseconds.
+const LOGIN_TIMEOUT_MS: Millis = 2_000;
 
-/// Longest time that a connection stays open without a call, in milliseconds.
-const IDLE_LIMIT_MS: Millis = 60_000;
+/// Maximum time that a connection stays open without a call, in milliseconds.
+const IDLE_TIMEOUT_MS: Millis = 60_000;
 
-/// Most records that one answer to a greeting passes on whole.
-const RELAYED_RECORDS: usize = 2;
+/// Maximum number of other processes whose whole records one answer to a greeting relays.
+const MAX_RELAYED_RECORDS: usize = 2;
 
 /// One accepted connection, before its login.
 struct LoginServer {
@@ -47,7 +47,7 @@
     calls: Rc<Cell<u64>>,
 }
 
-/// Serves one connection until it ends, stays silent, or does not log in.
+/// Serves one connection until it ends, has been idle for too long, or fails to log in in time.
 pub(super) async fn serve(local: Rc<Local>, stream: TcpStream, from: SocketAddr) {
     if stream.set_nodelay(true).is_err() {
         return;
@@ -61,20 +61,20 @@
     let rpc = RpcSystem::new(Box::new(network(stream, Side::Server)), Some(login.client));
     tokio::select! {
         _ = rpc => {}
-        () = silence(calls) => log::debug!("connection from {from} closed for its silence"),
+        () = idle_timeout(calls) => log::debug!("connection from {from} closed: no call in time"),
     }
 }
 
-/// Ends when no call has arrived for too long.
-async fn silence(calls: Rc<Cell<u64>>) {
-    let mut limit_ms = LOGIN_LIMIT_MS;
+/// Completes when no call has arrived within the time limit.
+async fn idle_timeout(calls: Rc<Cell<u64>>) {
+    let mut limit_ms = LOGIN_TIMEOUT_MS;
     loop {
         let seen = calls.get();
         tokio::time::sleep(Duration::from_millis(limit_ms)).await;
         if calls.get() == seen {
             return;
         }
-        limit_ms = IDLE_LIMIT_MS;
+        limit_ms = IDLE_TIMEOUT_MS;
     }
 }
 
@@ -84,13 +84,13 @@
         params: login::LoginParams,
         mut results: login::LoginResults,
     ) -> capnp::Result<()> {
-        let shown = params.get()?.get_token()?.as_bytes();
+        let given = params.get()?.get_token()?.as_bytes();
         let expected = self.local.shared.token.as_bytes();
-        if !bool::from(shown.ct_eq(expected)) {
+        if !bool::from(given.ct_eq(expected)) {
             Entry::new(Kind::PeerRejected)
                 .with("from", self.from)
                 .emit();
-            return Err(Error::failed("the token is not valid".to_owned()));
+            return Err(Error::failed("the peer token is not valid".to_owned()));
         }
         self.calls.set(self.calls.get() + 1);
         let server = NodeServer {
@@ -104,15 +104,15 @@
 }
 
 impl NodeServer {
-    fn count(&self) {
+    fn count_call(&self) {
         self.calls.set(self.calls.get() + 1);
     }
 
-    /// Notes a greeting, and greets back whoever is new.
-    fn meet(&self, member: &Member) {
+    /// Merges a greeting, and greets a process that is new or live again.
+    fn handle_greeting(&self, member: &Member) {
         let now = self.local.shared.now();
         let learnt = self.local.table.borrow_mut().greeted(member.clone(), now);
-        self.local.note(learnt, member);
+        self.local.handle_learnt(learnt, member);
         if learnt == Learnt::Arrived {
             self.local.publish();
             let local = Rc::clone(&self.local);
@@ -120,15 +120,15 @@
         }
     }
 
-    /// Records to pass on whole: a later one of the greeting process itself,
-    /// which has to outlive it, and a random few of the others.
-    fn relayed(&self, records: &[Member], from: &Member) -> Vec<Member> {
+    /// Records to relay whole: a later one under the name of the greeting process,
+    /// which must raise its incarnation above it, and a random few of the others.
+    fn records_to_relay(&self, records: &[Member], from: &Member) -> Vec<Member> {
         let mut chosen: Vec<Member> = Vec::new();
-        chosen.extend(self.local.table.borrow().later(from).cloned());
+        chosen.extend(self.local.table.borrow().later_incarnation(from).cloned());
         let others: Vec<&Member> = records.iter().filter(|r| r.name != from.name).collect();
         let rng = &mut *self.local.rng.borrow_mut();
-        let few = others.choose_multiple(rng, RELAYED_RECORDS);
-        chosen.extend(few.map(|record| (*record).clone()));
+        let sample = others.choose_multiple(rng, MAX_RELAYED_RECORDS);
+        chosen.extend(sample.map(|record| (*record).clone()));
         chosen
     }
 }
@@ -139,27 +139,27 @@
         params: node::HelloParams,
         mut results: node::HelloResults,
     ) -> capnp::Result<()> {
-        self.count();
+        self.count_call();
         let from = wire::read_member(params.get()?.get_from()?)?;
-        self.meet(&from);
+        self.handle_greeting(&from);
         let shared = &self.local.shared;
         let now = shared.now();
         let mut results = results.get();
         let records = self.local.table.borrow().relayed(now);
         let beats: Vec<_> = records.iter().map(Member::pulse).collect();
-        let chosen = self.relayed(&records, &from);
+        let chosen = self.records_to_relay(&records, &from);
         wire::write_member(&shared.record(), results.reborrow().init_self());
-        let mut known = results.reborrow().init_known(count(chosen.len()));
+        let mut known = results.reborrow().init_known(list_length(chosen.len()));
         for (index, member) in (0..).zip(&chosen) {
             wire::write_member(member, known.reborrow().get(index));
         }
-        let mut to = results.init_beats(count(beats.len()));
+        let mut to = results.init_beats(list_length(beats.len()));
         for (index, beat) in (0..).zip(&beats) {
             wire::write_beat(beat, to.reborrow().get(index));
         }
         if from.revision > shared.current.load().revision {
             let local = Rc::clone(&self.local);
-            tokio::task::spawn_local(async move { local.fetch(from.address).await });
+            tokio::task::spawn_local(async move { local.fetch_declarations(from.address).await });
         }
         Ok(())
     }
@@ -169,7 +169,7 @@
         params: node::DeclarationsParams,
         mut results: node::DeclarationsResults,
     ) -> capnp::Result<()> {
-        self.count();
+        self.count_call();
         let above = params.get()?.get_above();
         let declarations = self.local.shared.current.load();
         if declarations.revision > above {
@@ -186,7 +186,7 @@
         params: node::AnnounceParams,
         mut results: node::AnnounceResults,
     ) -> capnp::Result<()> {
-        self.count();
+        self.count_call();
         let params = params.get()?;
         let current = &self.local.shared.current;
         if params.get_revision() > current.load().revision {
@@ -203,7 +203,7 @@
         params: node::AskParams,
         mut results: node::AskResults,
     ) -> capnp::Result<()> {
-        self.count();
+        self.count_call();
         let params = params.get()?;
         let shard = params.get_shard()?.to_string()?;
         let request = wire::read_request(params.get_request()?)?;
@@ -214,11 +214,12 @@
             reply,
         };
         let answer = if self.local.incoming.try_send(incoming).is_err() {
-            unavailable("the process takes no requests now".to_owned())
+            unavailable("the request queue of the process is full or closed".to_owned())
         } else {
-            let limit = Duration::from_millis(ASK_LIMIT_MS);
-            let answer = tokio::time::timeout(limit, answer).await;
-            let answer = answer.map_err(|_| Error::failed("no answer in time".to_owned()))?;
+            let timeout = Duration::from_millis(ASK_TIMEOUT_MS);
+            let answer = tokio::time::timeout(timeout, answer).await;
+            let answer = answer
+                .map_err(|_| Error::failed("the request was not answered in time".to_owned()))?;
             answer.map_err(|_| Error::failed("the request was dropped".to_owned()))?
         };
         let answer: Answer = answer;
@@ -233,10 +234,11 @@
         params: node::RenewParams,
         mut results: node::RenewResults,
     ) -> capnp::Result<()> {
-        self.count();
+        self.count_call();
         let session = params.get()?.get_session()?.to_string()?;
         let store = self.local.shared.store.load_full();
-        let store = store.ok_or_else(|| Error::failed("no store".to_owned()))?;
+        let store = store
+            .ok_or_else(|| Error::failed("this process renews no store sessions".to_owned()))?;
         let renewed = store.renew_session(&session).await;
         let renewed = renewed.map_err(|error| Error::failed(error.to_string()))?;
         results.get().set_renewed(renewed);
@@ -244,6 +246,6 @@
     }
 }
 
-fn count(length: usize) -> u32 {
+fn list_length(length: usize) -> u32 {
     u32::try_from(length).unwrap_or(u32::MAX)
 }
--- a/crates/verbenahitch/src/peer/shared.rs
+++ b/crates/verbenahitch/src/peer/shared.rs
@@ -13,10 +13,10 @@
 use crate::membership::{Member, OwnedShard, Testimony};
 use crate::port::Clock;
 
-/// What the other processes have said of the store.
+/// Reports of the other processes on their contact with the store.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    /// Newest word of each process that is known, this one left out.
+    /// Newest report of each known process except this one.
     pub testimonies: Arc<Vec<Testimony>>,
 }
 
@@ -33,7 +33,7 @@
     pub(super) leaving: AtomicBool,
     /// Sending time of the newest call that the store answered, plus one; zero for never.
     store_contact: AtomicU64,
-    permit: AtomicU64,
+    permit_until: AtomicU64,
     incarnation: AtomicU64,
     beat: AtomicU64,
 }
@@ -59,7 +59,7 @@
             store: ArcSwapOption::empty(),
             leaving: AtomicBool::new(false),
             store_contact: AtomicU64::new(0),
-            permit: AtomicU64::new(0),
+            permit_until: AtomicU64::new(0),
             beat: AtomicU64::new(0),
         }
     }
@@ -79,12 +79,12 @@
     }
 
     pub(super) fn set_permit(&self, until: Monotonic) {
-        self.permit.store(until.0, Ordering::Relaxed);
+        self.permit_until.store(until.0, Ordering::Relaxed);
     }
 
-    /// Raises the incarnation above that of an earlier process of the same name.
-    pub(super) fn outlive(&self, incarnation: u64) {
-        let above = incarnation.saturating_add(1);
+    /// Raises the incarnation above `other`, that of an earlier process of the same name.
+    pub(super) fn raise_incarnation(&self, other: u64) {
+        let above = other.saturating_add(1);
         self.incarnation.fetch_max(above, Ordering::Relaxed);
     }
 
@@ -96,7 +96,7 @@
     pub(super) fn record(&self) -> Member {
         let now = self.now();
         let store_age_ms = self.store_contact().map(|sent| now.since(sent));
-        let permit = Monotonic(self.permit.load(Ordering::Relaxed));
+        let permit_until = Monotonic(self.permit_until.load(Ordering::Relaxed));
         Member {
             name: self.identity.name.clone(),
             zone: self.identity.zone.clone(),
@@ -104,11 +104,11 @@
             address: self.address,
             incarnation: self.incarnation(),
             beat: self.beat.fetch_add(1, Ordering::Relaxed),
-            // Read after the age of the contact: a reader must not see a new
-            // contact beside a revision from before it.
+            // Read after the store age: a record must not combine a new store
+            // contact with a revision from before it.
             revision: self.current.load().revision,
             store_age_ms,
-            permit_left_ms: permit.since(now),
+            permit_left_ms: permit_until.since(now),
             shards: self.shards.load().to_vec(),
             leaving: self.leaving.load(Ordering::Relaxed),
             age_ms: 0,
--- a/crates/verbenahitch/src/peer/wire.rs
+++ b/crates/verbenahitch/src/peer/wire.rs
@@ -1,4 +1,4 @@
-//! Translation between the schema's messages and the types of the crate.
+//! Conversion between the schema's messages and the types of the crate.
 
 use capnp::Error;
 
@@ -23,7 +23,7 @@
     to.set_permit_left(from.permit_left_ms);
     to.set_leaving(from.leaving);
     to.set_age(from.age_ms);
-    let mut shards = to.init_shards(short(from.shards.len() as u64));
+    let mut shards = to.init_shards(clamp_u32(from.shards.len() as u64));
     for (index, owned) in (0..).zip(&from.shards) {
         let mut to = shards.reborrow().get(index);
         to.set_shard(&owned.shard);
@@ -37,7 +37,7 @@
 pub(super) fn read_member(from: member::Reader<'_>) -> capnp::Result<Member> {
     let address = from.get_address()?.to_str()?;
     let address = address.parse();
-    let address = address.map_err(|_| Error::failed("malformed address".to_owned()))?;
+    let address = address.map_err(|_| Error::failed("member address is not IP:PORT".to_owned()))?;
     let shards = from.get_shards()?.iter().map(|owned| {
         Ok(OwnedShard {
             shard: owned.get_shard()?.to_string()?,
@@ -69,10 +69,10 @@
 pub(super) fn write_beat(from: &Beat, mut to: beat::Builder<'_>) {
     to.set_id(from.id);
     to.set_revision(from.revision);
-    to.set_beat(short(from.beat));
-    to.set_age(short(from.age_ms));
-    to.set_store_age(from.store_age_ms.map_or(u32::MAX, short));
-    to.set_permit_left(short(from.permit_left_ms));
+    to.set_beat(clamp_u32(from.beat));
+    to.set_age(clamp_u32(from.age_ms));
+    to.set_store_age(from.store_age_ms.map_or(u32::MAX, clamp_u32));
+    to.set_permit_left(clamp_u32(from.permit_left_ms));
 }
 
 /// Reads a beat.
@@ -88,7 +88,7 @@
     }
 }
 
-/// Writes what is asked of a shard.
+/// Writes a request to a shard.
 pub(super) fn write_request(from: &Request, mut to: request::Builder<'_>) -> capnp::Result<()> {
     match from {
         Request::Submit { id, spec } => {
@@ -116,7 +116,7 @@
     Ok(())
 }
 
-/// Reads what is asked of a shard.
+/// Reads a request to a shard.
 pub(super) fn read_request(from: request::Reader<'_>) -> capnp::Result<Request> {
     Ok(match from.which()? {
         request::Submit(submit) => {
@@ -149,7 +149,7 @@
     })
 }
 
-/// Largest number that fits below the one that stands for never.
-fn short(number: u64) -> u32 {
+/// Limits a number to `u32::MAX - 1`, since `u32::MAX` means never.
+fn clamp_u32(number: u64) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX).min(u32::MAX - 1)
 }
--- a/crates/verbenahitch/src/replay/batch.rs
+++ b/crates/verbenahitch/src/replay/batch.rs
@@ -11,13 +11,13 @@
 
 const CHECKPOINT_MS: Millis = 30_000;
 const LEASE_MS: Millis = 10_000;
-const BAD_RUN_MS: Millis = 1_000;
-const BAD_STREAK: u32 = 3;
-const SHUN_MS: Millis = 60_000;
-/// Work done again by each resumed task.
-const RESUME_MS: f64 = 2_000.0;
+const FAILURE_DELAY_MS: Millis = 1_000;
+const QUARANTINE_FAILURES: u32 = 3;
+const QUARANTINE_MS: Millis = 60_000;
+/// Work that an evicted task repeats when it resumes, in milliseconds.
+const RESUME_LOSS_MS: f64 = 2_000.0;
 
-/// A task that was given to a worker.
+/// A task that was placed on a worker.
 struct Start {
     ask: Ask,
     worker: WorkerKey,
@@ -69,9 +69,9 @@
             let mut evictions = Vec::new();
             cell.queue.drain(&mut cell.placer, now, |placer, ask| {
                 let need = chooser.need(placer, &ask);
-                let begun = Instant::now();
+                let started = Instant::now();
                 let choice = chooser.choose(placer, &ask, need, now);
-                tally.deciding += begun.elapsed();
+                tally.decision_time += started.elapsed();
                 tally.decisions += 1;
                 match choice {
                     Choice::Place { worker, .. } => {
@@ -110,20 +110,21 @@
 
     fn start(&mut self, cell: usize, id: u64, start: Start) {
         let mut workers = self.workers.iter();
-        let on = |worker: &super::fleet::Worker| worker.cell == cell && worker.key == start.worker;
-        let Some(worker) = workers.position(on) else {
+        let is_chosen =
+            |worker: &super::fleet::Worker| worker.cell == cell && worker.key == start.worker;
+        let Some(worker) = workers.position(is_chosen) else {
             return;
         };
         let task = start.ask.task;
         let job = &mut self.jobs[task.job];
-        let known = job.task(task.index);
-        if let State::Waiting(since) = known.state
+        let entry = job.task(task.index);
+        if let State::Waiting(since) = entry.state
             && start.ask.profile.urgent
         {
             let waited = self.now.since(since);
             self.tally.urgent_wait_ms = self.tally.urgent_wait_ms.max(waited);
         }
-        known.state = State::Running(id);
+        entry.state = State::Running(id);
         let run = Run {
             task,
             worker,
@@ -131,23 +132,23 @@
             profile: start.ask.profile,
             committed: start.committed,
             share: 1.0,
-            progress: known.checkpoint,
-            checkpoint: known.checkpoint,
+            progress: entry.checkpoint,
+            checkpoint: entry.checkpoint,
             checkpoint_due: self.now + CHECKPOINT_MS,
             since: self.now,
-            stops: None,
+            eviction_due: None,
         };
         self.workers[worker].runs.push(id);
         self.runs.insert(id, run);
     }
 
-    /// Lets all runs work for one tick.
+    /// Advances all runs by one tick.
     pub(super) fn advance_runs(&mut self) {
         let ids: Vec<u64> = self.runs.keys().copied().collect();
         for id in ids {
             let run = self.runs.get_mut(&id).expect("only this loop removes runs");
             if self.workers[run.worker].bad {
-                if self.now.since(run.since) >= BAD_RUN_MS {
+                if self.now.since(run.since) >= FAILURE_DELAY_MS {
                     self.fail(id);
                 }
                 continue;
@@ -165,7 +166,10 @@
             }
             if run.progress >= work {
                 self.finish(id);
-            } else if run.stops.is_some_and(|stops| stops <= self.now) {
+            } else if run
+                .eviction_due
+                .is_some_and(|eviction_due| eviction_due <= self.now)
+            {
                 self.stop(id);
             }
         }
@@ -183,13 +187,13 @@
         batch.timely += u64::from(job.is_timely(self.now));
     }
 
-    /// Ends an eviction: the task resumes from the checkpoint that it wrote.
+    /// Ends an evicted run; its task resumes from the checkpoint written on eviction.
     fn stop(&mut self, id: u64) {
         let Some(run) = self.remove_run(id) else {
             return;
         };
-        let resumed = (run.progress - RESUME_MS).max(0.0);
-        self.lose(run.progress - resumed);
+        let resumed = (run.progress - RESUME_LOSS_MS).max(0.0);
+        self.discard_work(run.progress - resumed);
         self.resume(run.task, resumed, self.now);
     }
 
@@ -198,30 +202,31 @@
             return;
         };
         self.tally.failures += 1;
-        self.lose(run.progress - run.checkpoint);
+        self.discard_work(run.progress - run.checkpoint);
         self.jobs[run.task.job].task(run.task.index).avoid = Some(run.worker);
         self.resume(run.task, run.checkpoint, self.now);
         let worker = &mut self.workers[run.worker];
-        worker.streak += 1;
-        if worker.streak >= BAD_STREAK {
+        worker.consecutive_failures += 1;
+        if worker.consecutive_failures >= QUARANTINE_FAILURES {
             let (cell, key) = (worker.cell, worker.key);
             let cell = &mut self.cells[cell];
             cell.placer.set_state(key, WorkerState::Quarantined);
-            cell.chooser.closed.insert(key);
-            self.shunned.push((self.now + SHUN_MS, run.worker));
+            cell.chooser.quarantined.insert(key);
+            self.quarantine_ends
+                .push((self.now + QUARANTINE_MS, run.worker));
         }
     }
 
     fn succeed(&mut self, worker: usize) {
         let worker = &mut self.workers[worker];
-        if worker.streak >= BAD_STREAK {
+        if worker.consecutive_failures >= QUARANTINE_FAILURES {
             let cell = &mut self.cells[worker.cell];
             cell.placer.set_state(worker.key, WorkerState::Open);
         }
-        worker.streak = 0;
+        worker.consecutive_failures = 0;
     }
 
-    fn lose(&mut self, work_ms: f64) {
+    fn discard_work(&mut self, work_ms: f64) {
         self.tally.lost_ms += work_ms;
         self.tally.work_ms -= work_ms;
     }
@@ -231,7 +236,7 @@
         self.enqueue(task, since);
     }
 
-    /// Takes a run with all that it holds off its worker.
+    /// Removes a run from its worker and releases its resources.
     pub(super) fn remove_run(&mut self, id: u64) -> Option<Run> {
         let run = self.runs.remove(&id)?;
         let worker = &mut self.workers[run.worker];
@@ -240,20 +245,20 @@
         Some(run)
     }
 
-    /// Ends a run with its worker; its task waits until the lease has lapsed.
+    /// Ends a run whose worker failed; its task waits until the lease has lapsed.
     pub(super) fn lose_run(&mut self, id: u64) {
         let Some(run) = self.remove_run(id) else {
             return;
         };
-        self.lose(run.progress - run.checkpoint);
+        self.discard_work(run.progress - run.checkpoint);
         let task = self.jobs[run.task.job].task(run.task.index);
         task.state = State::Leased;
         task.checkpoint = run.checkpoint;
         self.leased.push((self.now + LEASE_MS, run.task));
     }
 
-    /// Brings back tasks whose lease has lapsed and workers that were shunned.
-    pub(super) fn return_tasks(&mut self) {
+    /// Queues tasks whose lease has lapsed and reopens workers whose quarantine has ended.
+    pub(super) fn release_expired(&mut self) {
         let now = self.now;
         let mut due: Vec<TaskKey> = Vec::new();
         self.leased.retain(|(at, task)| {
@@ -264,16 +269,22 @@
         for task in due {
             self.enqueue(task, now);
         }
-        for (_, at) in self.shunned.extract_if(.., |(until, _)| *until <= now) {
+        for (_, at) in self
+            .quarantine_ends
+            .extract_if(.., |(until, _)| *until <= now)
+        {
             let worker = &self.workers[at];
-            self.cells[worker.cell].chooser.closed.remove(&worker.key);
+            self.cells[worker.cell]
+                .chooser
+                .quarantined
+                .remove(&worker.key);
         }
     }
 
-    pub(super) fn relieve(&mut self) {
+    pub(super) fn apply_actions(&mut self) {
         for at in 0..self.cells.len() {
-            for relief in self.cells[at].relieve(self.now) {
-                match relief {
+            for action in self.cells[at].interference_actions(self.now) {
+                match action {
                     Relief::Throttle { task, share, .. } => self.throttle(task, share),
                     Relief::Evict { task, .. } => self.evict_task(task),
                 }
@@ -301,14 +312,14 @@
         let Some(run) = self.runs.get_mut(&id) else {
             return;
         };
-        if run.stops.is_none() {
-            run.stops = Some(self.now + run.profile.eviction.grace_ms);
+        if run.eviction_due.is_none() {
+            run.eviction_due = Some(self.now + run.profile.eviction.grace_ms);
             self.tally.evictions += 1;
         }
     }
 
-    /// Counts urgent tasks that still wait at the end.
-    pub(super) fn note_urgent_left(&mut self) {
+    /// Includes urgent tasks that are still queued at the end in the longest wait.
+    pub(super) fn record_waiting_urgent(&mut self) {
         let urgent = self.jobs.values().filter(|job| job.profile.urgent);
         let waits = urgent
             .flat_map(|job| &job.tasks)
--- a/crates/verbenahitch/src/replay/cell.rs
+++ b/crates/verbenahitch/src/replay/cell.rs
@@ -1,4 +1,4 @@
-//! One availability zone's placer, under the policy that is replayed.
+//! Placer and queue of one availability zone, under the policy that is replayed.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,17 +8,17 @@
 use crate::placement::{Ask, Choice, Placer, Queue, Reason};
 use crate::port::Usage;
 
-/// Policy that decides in a replay.
+/// Placement policy of a replay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
-    /// The product's own decisions.
+    /// The scheduler's own decisions, aware of interference.
     Aware,
     /// The first worker with room, without regard to interference.
     FirstFit,
-    /// Whole workers for the latency-critical work, the others for batch.
+    /// Some workers for latency-critical work only, the others for batch only.
     Reserved,
-    /// No batch at all: the latency that could be had.
+    /// No batch work at all, which gives the baseline latency.
     Alone,
 }
 
@@ -54,8 +54,8 @@
     pub(super) order: Vec<WorkerKey>,
     /// Workers that take no batch.
     pub(super) reserved: HashSet<WorkerKey>,
-    /// Workers that take no batch for now.
-    pub(super) closed: HashSet<WorkerKey>,
+    /// Workers that take no batch until their quarantine ends.
+    pub(super) quarantined: HashSet<WorkerKey>,
 }
 
 impl Cell {
@@ -68,7 +68,7 @@
                 policy,
                 order: Vec::new(),
                 reserved: HashSet::default(),
-                closed: HashSet::default(),
+                quarantined: HashSet::default(),
             },
         }
     }
@@ -79,7 +79,7 @@
         }
     }
 
-    pub(super) fn relieve(&mut self, now: Monotonic) -> Vec<Relief> {
+    pub(super) fn interference_actions(&mut self, now: Monotonic) -> Vec<Relief> {
         match self.chooser.policy {
             Policy::Aware => self.placer.relieve(now),
             Policy::FirstFit | Policy::Reserved | Policy::Alone => Vec::new(),
@@ -88,7 +88,7 @@
 }
 
 impl Chooser {
-    /// What a task commits.
+    /// Resources that are committed for a task.
     pub(super) fn need(&self, placer: &Placer, ask: &Ask) -> Resources {
         match self.policy {
             Policy::Aware => placer.size(&ask.name, &ask.profile),
@@ -111,15 +111,18 @@
     }
 
     fn first_fit(&self, placer: &Placer, ask: &Ask, need: Resources) -> Choice {
-        let mut all = self.order.iter().copied();
-        if !all.clone().any(|worker| need.fits(placer.capacity(worker))) {
+        let mut workers = self.order.iter().copied();
+        if !workers
+            .clone()
+            .any(|worker| need.fits(placer.capacity(worker)))
+        {
             return Choice::Never("larger than every worker".to_owned());
         }
-        let able = all.find(|worker| {
-            let open = !self.reserved.contains(worker) && !self.closed.contains(worker);
-            open && ask.avoid != Some(*worker) && need.fits(placer.free(*worker))
+        let fitting = workers.find(|worker| {
+            let available = !self.reserved.contains(worker) && !self.quarantined.contains(worker);
+            available && ask.avoid != Some(*worker) && need.fits(placer.free(*worker))
         });
-        match able {
+        match fitting {
             Some(worker) => Choice::Place {
                 worker,
                 runner_up: None,
--- a/crates/verbenahitch/src/replay/driver.rs
+++ b/crates/verbenahitch/src/replay/driver.rs
@@ -1,4 +1,4 @@
-//! Steps a trace through the decisions, one second at a time.
+//! Replays a trace in ticks of one second.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -34,14 +34,14 @@
     pub(super) jobs: SlotMap<JobKey, Job>,
     pub(super) runs: BTreeMap<u64, Run>,
     pub(super) next_run: u64,
-    /// Tasks of dead workers, with the time when their lease has lapsed.
+    /// Tasks of failed workers, with the end of their lease.
     pub(super) leased: Vec<(Monotonic, TaskKey)>,
-    /// Workers that the baselines give nothing until then.
-    pub(super) shunned: Vec<(Monotonic, usize)>,
-    pub(super) reserved_part: f64,
+    /// End of the quarantine of workers, which only the baseline policies observe.
+    pub(super) quarantine_ends: Vec<(Monotonic, usize)>,
+    pub(super) reserved_fraction: f64,
     pub(super) tally: Tally,
     pub(super) rng: ChaCha8Rng,
-    names: HashMap<String, JobKey>,
+    job_keys: HashMap<String, JobKey>,
     store_up: bool,
     deferred: Vec<Event>,
 }
@@ -65,11 +65,11 @@
             runs: BTreeMap::new(),
             next_run: 0,
             leased: Vec::new(),
-            shunned: Vec::new(),
-            reserved_part: 0.0,
+            quarantine_ends: Vec::new(),
+            reserved_fraction: 0.0,
             tally: Tally::default(),
             rng: ChaCha8Rng::seed_from_u64(seed),
-            names: HashMap::default(),
+            job_keys: HashMap::default(),
             store_up: true,
             deferred: Vec::new(),
         };
@@ -77,20 +77,21 @@
         driver
     }
 
-    /// Takes over the kinds of requests, which the workers need from their start.
+    /// Reads the request kinds first: a worker commits the resources of its
+    /// upstreams as soon as it is added.
     fn set_up(&mut self) {
         let trace = self.trace;
         for entry in &trace.entries {
             if let Event::Kind(kind) = &entry.event {
-                let key = self.jobs.insert(self.service(kind));
+                let key = self.jobs.insert(self.upstream_job(kind));
                 self.kinds.push((kind.clone(), key));
             }
         }
-        self.reserved_part = self.peak_part();
+        self.reserved_fraction = self.peak_fraction();
     }
 
-    /// A job that stands for the upstreams of one kind.
-    fn service(&self, kind: &Kind) -> Job {
+    /// Job that represents the upstreams of one kind on all workers.
+    fn upstream_job(&self, kind: &Kind) -> Job {
         let submit = Submit {
             job: kind.profile.clone(),
             profile: kind.profile.clone(),
@@ -113,16 +114,16 @@
             self.now = self.now + TICK_MS;
         }
         self.tally.end_ms = end;
-        self.note_urgent_left();
+        self.record_waiting_urgent();
         self.tally
     }
 
     fn tick(&mut self) {
         self.advance_runs();
-        self.return_tasks();
+        self.release_expired();
         self.serve();
         self.deliver_reports();
-        self.relieve();
+        self.apply_actions();
         self.place();
         self.check_commitments();
     }
@@ -136,7 +137,7 @@
                 per_rack,
                 capacity,
             } => self.add_workers(&zone, count, per_rack, capacity),
-            Event::Truth(truth) => self.model.learn(&truth),
+            Event::Truth(truth) => self.model.add_truth(&truth),
             Event::Load { profile, rate } => {
                 self.rates.insert(profile, rate);
             }
@@ -164,9 +165,9 @@
         }
     }
 
-    fn with_worker(&mut self, name: &str, act: impl FnOnce(&mut Self, usize)) {
+    fn with_worker(&mut self, name: &str, update: impl FnOnce(&mut Self, usize)) {
         if let Some(at) = self.workers.iter().position(|worker| worker.name == name) {
-            act(self, at);
+            update(self, at);
         }
     }
 
@@ -187,14 +188,14 @@
         let batch = self.tally.batch(&self.jobs[key].name);
         batch.worth = self.jobs[key].profile.worth;
         batch.due += count;
-        self.names.insert(name, key);
+        self.job_keys.insert(name, key);
         for index in 0..self.jobs[key].submit.tasks {
             self.enqueue(TaskKey { job: key, index }, self.now);
         }
     }
 
     fn cancel(&mut self, name: &str) {
-        let Some(key) = self.names.get(name).copied() else {
+        let Some(key) = self.job_keys.get(name).copied() else {
             return;
         };
         for index in 0..self.jobs[key].submit.tasks {
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Takes a zone out of service or back, with its jobs.
+    /// Takes a zone out of service and moves its jobs, or brings it back.
     fn set_zone(&mut self, zone: &str, in_service: bool) {
         let Some(cell) = self.zones.iter().position(|name| name == zone) else {
             return;
@@ -251,7 +252,7 @@
         }
     }
 
-    /// Zone in service with the fewest tasks for its workers.
+    /// Zone in service with the fewest tasks per worker.
     fn least_loaded(&self) -> usize {
         let mut tasks = vec![0_usize; self.cells.len()];
         for run in self.runs.values() {
--- a/crates/verbenahitch/src/replay/fleet.rs
+++ b/crates/verbenahitch/src/replay/fleet.rs
@@ -1,4 +1,4 @@
-//! Workers, jobs and runs of a replay, as they truly are.
+//! True state of the workers, jobs and runs of a replay.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -8,7 +8,6 @@
 
 use super::trace::Submit;
 
-/// A worker.
 #[derive(Debug)]
 pub(super) struct Worker {
     pub(super) name: String,
@@ -17,12 +16,12 @@
     pub(super) key: WorkerKey,
     pub(super) capacity: Resources,
     pub(super) up: bool,
-    /// Fails whatever starts on it.
+    /// Whether every run on it fails.
     pub(super) bad: bool,
-    /// Answers requests.
+    /// Whether its upstreams answer requests.
     pub(super) serves: bool,
     /// Failures in a row.
-    pub(super) streak: u32,
+    pub(super) consecutive_failures: u32,
     pub(super) runs: Vec<u64>,
     /// Reports that have not arrived yet, with the time of the measurement.
     pub(super) reports: VecDeque<(Monotonic, Usage)>,
@@ -42,24 +41,23 @@
     pub(super) checkpoint: f64,
     pub(super) checkpoint_due: Monotonic,
     pub(super) since: Monotonic,
-    /// When an eviction ends it.
-    pub(super) stops: Option<Monotonic>,
+    /// When an eviction ends the run, if it is being evicted.
+    pub(super) eviction_due: Option<Monotonic>,
 }
 
-/// How a task stands.
+/// State of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum State {
-    /// Waits since then.
+    /// In the queue since this time.
     Waiting(Monotonic),
-    /// Runs.
+    /// On a worker, as the run with this id.
     Running(u64),
-    /// Its worker died; starts again once the lease has lapsed.
+    /// Its worker failed; it is queued again once the lease has lapsed.
     Leased,
     /// Finished, cancelled or refused.
     Ended,
 }
 
-/// A task of a job.
 #[derive(Clone, Debug)]
 pub(super) struct Task {
     pub(super) state: State,
@@ -69,7 +67,6 @@
     pub(super) avoid: Option<usize>,
 }
 
-/// A job.
 #[derive(Debug)]
 pub(super) struct Job {
     pub(super) submit: Submit,
@@ -98,17 +95,16 @@
         }
     }
 
-    /// Task of the job.
     pub(super) fn task(&mut self, index: u32) -> &mut Task {
         &mut self.tasks[usize::try_from(index).unwrap_or(usize::MAX)]
     }
 
-    /// Whether an end now is in time.
+    /// Whether a task that ends at `now` meets the deadline.
     pub(super) fn is_timely(&self, now: Monotonic) -> bool {
         now.since(self.accepted) <= self.profile.deadline_ms
     }
 
-    /// Work of one task.
+    /// Work of one task, in milliseconds at full speed.
     pub(super) fn work_ms(&self) -> Millis {
         self.submit.run_ms
     }
--- a/crates/verbenahitch/src/replay/generate.rs
+++ b/crates/verbenahitch/src/replay/generate.rs
@@ -1,7 +1,8 @@
-//! Generates the traces of a compressed day of each deployment.
+//! Generates a trace of a compressed day for each deployment.
 //!
-//! One second of the trace stands for a minute of the day. The seed moves the
-//! submissions and waves a little; the same seed gives the same trace.
+//! One second of the trace represents one minute of the day. The seed shifts the
+//! submissions and noise periods by some seconds and varies the run times; the
+//! same seed gives the same trace.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -24,8 +25,8 @@
     };
     day.set_up(&plan);
     day.load(&plan);
-    day.batch(&plan);
-    day.trouble(&plan);
+    day.submissions(&plan);
+    day.disturbances(&plan);
     day.entries.sort_by_key(|entry| entry.at_ms);
     day.push(DAY_S, Event::End);
     Trace {
@@ -63,13 +64,13 @@
         }
     }
 
-    /// Requests follow the day: low at night, highest at noon.
+    /// Request load over the day: low at night, highest at noon.
     fn load(&mut self, plan: &Plan) {
         let workers: usize = plan.zones.iter().map(|(_, count)| count).sum();
         for at_s in (0..DAY_S).step_by(usize::try_from(LOAD_STEP_S).unwrap_or(1)) {
             let phase = std::f64::consts::TAU * at_s as f64 / DAY_S as f64;
-            let part = (1.0 - phase.cos()) / 2.0;
-            let load = NIGHT_LOAD + (NOON_LOAD - NIGHT_LOAD) * part;
+            let fraction = (1.0 - phase.cos()) / 2.0;
+            let load = NIGHT_LOAD + (NOON_LOAD - NIGHT_LOAD) * fraction;
             // The first kind makes up two thirds of the load.
             for (kind, share) in plan.kinds.iter().zip([2.0 / 3.0, 1.0 / 3.0]) {
                 let rate = load * share * kind.capacity * workers as f64;
@@ -82,7 +83,7 @@
         }
     }
 
-    fn batch(&mut self, plan: &Plan) {
+    fn submissions(&mut self, plan: &Plan) {
         let [nightly, noisy, light, filler, urgent, oversized] = &plan.batches;
         for _ in 0..12 {
             let at_s = self.rng.random_range(0..40);
@@ -109,19 +110,20 @@
     fn submit(&mut self, at_s: u64, plan: &BatchPlan, tasks: u32) -> String {
         self.jobs += 1;
         let job = format!("{}-{}", plan.profile, self.jobs);
-        let longer = self.rng.random_range(0.8..1.2);
+        let run_factor = self.rng.random_range(0.8..1.2);
         let submit = Submit {
             job: job.clone(),
             profile: plan.profile.to_owned(),
             tasks,
-            run_ms: (plan.run_s as f64 * 1_000.0 * longer) as u64,
+            run_ms: (plan.run_s as f64 * 1_000.0 * run_factor) as u64,
         };
         self.push(at_s, Event::Submit(submit));
         job
     }
 
-    /// Waves of noise, failures, cancellations, a zone out and back, a store outage.
-    fn trouble(&mut self, plan: &Plan) {
+    /// Noise periods, worker failures, cancellations, a zone taken out of service
+    /// and brought back, and a store outage.
+    fn disturbances(&mut self, plan: &Plan) {
         let [_, noisy, _, filler, ..] = &plan.batches;
         for at_s in [380, 560, 740, 860, 1_000] {
             let at_s = at_s + self.rng.random_range(0..15);
@@ -138,8 +140,8 @@
             self.push(at_s, Event::Down { worker: worker(at) });
             self.push(at_s + 90, Event::Up { worker: worker(at) });
         }
-        let doomed: Vec<String> = (0..10).map(|_| self.submit(800, filler, 40)).collect();
-        for job in doomed {
+        let cancelled: Vec<String> = (0..10).map(|_| self.submit(800, filler, 40)).collect();
+        for job in cancelled {
             self.push(815, Event::Cancel { job });
         }
         self.push(
--- a/crates/verbenahitch/src/replay/mod.rs
+++ b/crates/verbenahitch/src/replay/mod.rs
@@ -1,11 +1,10 @@
-//! Replay: drives the placement and interference decisions over a recorded
-//! trace, next to baselines behind the same interface.
+//! Replay of a recorded trace through the placement and interference decisions,
+//! compared with baseline policies behind the same interface.
 //!
 //! Time is injected, and all randomness comes from the seeds, so a replay gives
-//! the same report every time. What truly slows what is in a small model
-//! ([`Truth`]) that the decisions cannot see into; they get lagging, noisy
-//! reports as from a worker. docs/design/placement.md describes the format of
-//! a trace.
+//! the same report every time. The true interference is a small model
+//! ([`Truth`]) that the decisions cannot read; they get delayed, noisy reports
+//! as from a worker. docs/design/placement.md describes the format of a trace.
 
 mod batch;
 mod cell;
@@ -36,7 +35,7 @@
     pub seeds: Vec<u64>,
     /// Policies to compare.
     pub policies: Vec<Policy>,
-    /// Whether to measure decisions a second, which differ from run to run.
+    /// Whether to measure decisions per second, which vary between runs.
     pub timing: bool,
 }
 
@@ -62,7 +61,7 @@
         /// Cause.
         source: std::io::Error,
     },
-    /// A line is not an entry.
+    /// A line is not a valid entry.
     #[snafu(display("trace line {line}: {source}"))]
     Parse {
         /// Line, from one.
@@ -70,7 +69,7 @@
         /// Cause.
         source: serde_json::Error,
     },
-    /// A line contradicts another one.
+    /// A line has a value that is not allowed or contradicts an earlier line.
     #[snafu(display("trace line {line}: {reason}"))]
     Invalid {
         /// Line, from one.
@@ -78,16 +77,17 @@
         /// What was found and what is allowed.
         reason: String,
     },
-    /// The options leave nothing to do.
+    /// The options name no seed or no policy.
     #[snafu(display("at least one seed and one policy are needed"))]
-    Nothing,
+    EmptyOptions,
 }
 
 /// Replays a trace under each policy and seed.
 ///
 /// # Errors
 ///
-/// When the trace cannot be read or has a fault.
+/// When the trace cannot be read or is invalid, or the options name no seed
+/// or no policy.
 pub fn run(trace: &Path, options: &Options) -> Result<Report, ReplayError> {
     let trace = Trace::load(trace)?;
     run_trace(&trace, options)
@@ -100,7 +100,7 @@
 /// When the options name no seed or no policy.
 pub fn run_trace(trace: &Trace, options: &Options) -> Result<Report, ReplayError> {
     if options.seeds.is_empty() || options.policies.is_empty() {
-        return NothingSnafu.fail();
+        return EmptyOptionsSnafu.fail();
     }
     let policies = options.policies.iter().map(|policy| {
         let tallies = options
--- a/crates/verbenahitch/src/replay/model.rs
+++ b/crates/verbenahitch/src/replay/model.rs
@@ -1,12 +1,14 @@
-//! The hidden model: what truly slows what.
+//! Model of the true interference, which the decisions cannot read.
 //!
-//! A request's latency is log-normal around its median alone, times the effect
-//! of the worker's own load, times the slowdown by the batch tasks beside it:
+//! The latency of a request is log-normal. Its median is the baseline median
+//! times the effect of the worker's own load times the slowdown by colocated
+//! batch tasks:
 //!
 //! `median * (1 + 0.6 * load^2 / (1 - load)) * (1 + sum(slope * activity * (0.5 + load)))`
 //!
-//! The activity of a task is its share of processors times the noise of its
-//! profile. A batch task proceeds at the part of its true need that it has.
+//! The activity of a task is its CPU share times the noise factor of its
+//! profile. A batch task progresses at the fraction of its true CPU demand that
+//! it gets, and more slowly if its memory is less than its true demand.
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -15,20 +17,21 @@
 use crate::collections::HashMap;
 use crate::domain::{Profile, Resources};
 
-const MOST_LOAD: f64 = 0.95;
+const MAX_LOAD: f64 = 0.95;
+/// Factor on the progress of a task whose memory is less than its true demand.
 const SWAPPING_RATE: f64 = 0.5;
-/// Standard normal deviate of the 99th percentile.
+/// Standard normal deviate at the 99th percentile.
 const P99_DEVIATE: f64 = 2.326;
 
-/// Batch tasks of one profile on a worker, as the model sees them.
+/// Batch tasks of one profile that are colocated on a worker.
 #[derive(Clone, Debug)]
-pub(super) struct Beside<'a> {
+pub(super) struct Colocated<'a> {
     pub(super) profile: &'a str,
-    /// Sum of their shares of processors.
+    /// Sum of their CPU shares.
     pub(super) share: f64,
 }
 
-/// What truly slows what.
+/// True interference, usage and noise.
 #[derive(Debug, Default)]
 pub(super) struct Model {
     slopes: HashMap<(String, String), f64>,
@@ -37,7 +40,7 @@
 }
 
 impl Model {
-    pub(super) fn learn(&mut self, truth: &Truth) {
+    pub(super) fn add_truth(&mut self, truth: &Truth) {
         for pair in &truth.pairs {
             let key = (pair.victim.clone(), pair.source.clone());
             self.slopes.insert(key, pair.slope);
@@ -51,21 +54,24 @@
         self.noise.insert(profile.to_owned(), factor);
     }
 
-    /// Ratio of a kind's latency to its median alone without load.
-    pub(super) fn ratio(&self, kind: &Kind, load: f64, beside: &[Beside<'_>]) -> f64 {
-        let load = load.clamp(0.0, MOST_LOAD);
+    /// Ratio of a kind's median latency to its baseline median without load.
+    pub(super) fn ratio(&self, kind: &Kind, load: f64, colocated: &[Colocated<'_>]) -> f64 {
+        let load = load.clamp(0.0, MAX_LOAD);
         let queueing = 1.0 + 0.6 * load * load / (1.0 - load);
-        let slowed: f64 = beside.iter().map(|beside| self.added(kind, beside)).sum();
-        queueing * (1.0 + slowed * (0.5 + load))
+        let slowdown: f64 = colocated
+            .iter()
+            .map(|group| self.added_slowdown(kind, group))
+            .sum();
+        queueing * (1.0 + slowdown * (0.5 + load))
     }
 
-    fn added(&self, kind: &Kind, beside: &Beside<'_>) -> f64 {
-        let pair = (kind.profile.clone(), beside.profile.to_owned());
+    fn added_slowdown(&self, kind: &Kind, group: &Colocated<'_>) -> f64 {
+        let pair = (kind.profile.clone(), group.profile.to_owned());
         let slope = self.slopes.get(&pair).copied().unwrap_or(0.0);
-        slope * beside.share * self.noise_of(beside.profile)
+        slope * group.share * self.noise_factor(group.profile)
     }
 
-    fn noise_of(&self, profile: &str) -> f64 {
+    fn noise_factor(&self, profile: &str) -> f64 {
         self.noise.get(profile).copied().unwrap_or(1.0)
     }
 
@@ -80,8 +86,9 @@
         (median, median * (kind.sigma * P99_DEVIATE).exp())
     }
 
-    /// What a task would use, its declared size unless the trace says otherwise.
-    fn need(&self, name: &str, profile: &Profile) -> (u64, u64) {
+    /// True demand of a task in millicores and mebibytes: its declared size unless
+    /// the trace gives another.
+    fn demand(&self, name: &str, profile: &Profile) -> (u64, u64) {
         let declared = profile.resources;
         let work = self.works.get(name);
         work.map_or((declared.millicores, declared.memory_mib), |work| {
@@ -89,7 +96,7 @@
         })
     }
 
-    /// What a task uses at `share` of what it committed: millicores and mebibytes.
+    /// Usage of a task at a CPU share of `share`, in millicores and mebibytes.
     pub(super) fn usage(
         &self,
         name: &str,
@@ -97,12 +104,12 @@
         committed: Resources,
         share: f64,
     ) -> (u64, u64) {
-        let (millicores, memory_mib) = self.need(name, profile);
+        let (millicores, memory_mib) = self.demand(name, profile);
         let millicores = millicores.min(committed.millicores) as f64 * share;
         (millicores as u64, memory_mib.min(committed.memory_mib))
     }
 
-    /// Milliseconds of work that a task does in a millisecond.
+    /// Progress of a task relative to full speed, from 0.0 to 1.0.
     pub(super) fn rate(
         &self,
         name: &str,
@@ -110,15 +117,15 @@
         committed: Resources,
         share: f64,
     ) -> f64 {
-        let (millicores, memory_mib) = self.need(name, profile);
-        let processors = committed.millicores as f64 / millicores.max(1) as f64;
+        let (millicores, memory_mib) = self.demand(name, profile);
+        let cpu = committed.millicores as f64 / millicores.max(1) as f64;
         let swapping = memory_mib > committed.memory_mib;
         let memory = if swapping { SWAPPING_RATE } else { 1.0 };
-        processors.min(1.0) * share * memory
+        cpu.min(1.0) * share * memory
     }
 }
 
-/// Standard normal deviate by Box and Muller's method.
+/// Standard normal deviate by the Box-Muller method.
 pub(super) fn normal(rng: &mut ChaCha8Rng) -> f64 {
     let radius = (-2.0 * (1.0 - rng.random::<f64>()).ln()).sqrt();
     radius * (std::f64::consts::TAU * rng.random::<f64>()).cos()
--- a/crates/verbenahitch/src/replay/plan.rs
+++ b/crates/verbenahitch/src/replay/plan.rs
@@ -1,4 +1,4 @@
-//! The deployments whose days are generated: workers, request kinds and batch work.
+//! Deployments for which a day is generated: workers, request kinds and batch profiles.
 
 use std::collections::BTreeMap;
 
@@ -10,24 +10,24 @@
 
 const TEAM: &str = "house";
 
-/// A deployment whose day is generated.
+/// Deployment for which a day is generated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Deployment {
-    /// Four zones, 50 workers of 16 cores: price pushes over promotional recalculations.
+    /// Four zones, 50 workers of 16 cores: price pushes beside promotional recalculations.
     Bureau,
-    /// Three zones, 65 workers of 32 cores: pass quotes over season settlements.
+    /// Three zones, 65 workers of 32 cores: pass quotes beside season settlements.
     Kilele,
 }
 
-/// What distinguishes one deployment's day.
+/// Parameters of one deployment's day.
 pub(super) struct Plan {
     pub(super) name: &'static str,
     pub(super) zones: &'static [(&'static str, usize)],
     pub(super) per_rack: usize,
     pub(super) capacity: Resources,
     pub(super) kinds: [KindPlan; 2],
-    /// Profiles: nightly, noisy, light, filler, urgent, oversized.
+    /// Profiles in this order: nightly, noisy, light, filler, urgent, oversized.
     pub(super) batches: [BatchPlan; 6],
 }
 
@@ -44,12 +44,14 @@
 pub(super) struct BatchPlan {
     pub(super) profile: &'static str,
     pub(super) declared: Resources,
+    /// True demand of a task: millicores and mebibytes.
     pub(super) used: (u64, u64),
     pub(super) worth: u32,
     pub(super) run_s: u64,
     pub(super) deadline_s: u64,
-    /// Declared pressure, and true slowdown of the first and the second kind.
+    /// Declared pressure, which need not match `slopes`.
     pub(super) pressure: f64,
+    /// True slope for the first and the second kind, as in [`Pair::slope`].
     pub(super) slopes: (f64, f64),
     pub(super) urgent: bool,
 }
@@ -277,7 +279,8 @@
         let workers: usize = self.zones.iter().map(|(_, count)| count).sum();
         let quota = self.capacity.times(workers as u64);
         let team = Team {
-            // Room for tasks that no worker has, so that the workers decide.
+            // More accelerators than any worker has, so that a task which needs them is
+            // refused because no worker fits it, not because of the quota.
             quota: Resources {
                 accelerators: 8,
                 ..quota
--- a/crates/verbenahitch/src/replay/report.rs
+++ b/crates/verbenahitch/src/replay/report.rs
@@ -8,15 +8,15 @@
 use super::tally::{Answers, Tally, percent};
 use super::{Policy, Trace};
 
-/// A figure over all seeds.
+/// Distribution of a figure over all seeds.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Spread {
     /// Mean.
     pub mean: f64,
-    /// Least.
+    /// Minimum.
     pub least: f64,
-    /// Most.
+    /// Maximum.
     pub most: f64,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Rounds to three decimals, so that a report reads the same on every machine.
+/// Rounds to three decimals, so that a report is the same on every machine.
 fn rounded(figure: f64) -> f64 {
     (figure * 1_000.0).round() / 1_000.0
 }
@@ -48,10 +48,10 @@
     }
 }
 
-/// A row's label and the figure in it.
-type Column = (&'static str, fn(&KindReport) -> Spread);
+/// Label of a row and the figure that it shows.
+type KindRow = (&'static str, fn(&KindReport) -> Spread);
 
-/// Answers of one kind of request.
+/// Answers to requests of one kind.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct KindReport {
@@ -91,7 +91,7 @@
     })
 }
 
-/// What one policy made of a trace.
+/// Results of one policy on a trace.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct PolicyReport {
@@ -99,21 +99,21 @@
     pub policy: Policy,
     /// Answers by profile.
     pub kinds: BTreeMap<String, KindReport>,
-    /// Tasks finished by their deadline by batch profile, in percent.
+    /// Tasks finished by their deadline in percent, by batch profile.
     pub batches: BTreeMap<String, Spread>,
     /// Worth served of the worth offered, in percent.
     pub worth_percent: Spread,
     /// Batch tasks that finished.
     pub finished: Spread,
-    /// Batch tasks finished by their deadline, in percent of those that could.
+    /// Batch tasks finished by their deadline, in percent of those accepted and not cancelled.
     pub timely_percent: Spread,
-    /// Useful batch work, in task-seconds a second.
+    /// Useful batch work, in task-seconds per second.
     pub throughput: Spread,
     /// Tasks that were refused because no worker could ever run them.
     pub refused: Spread,
-    /// Evictions, planned and for urgent work.
+    /// Evictions: against interference, for urgent work and out of a zone.
     pub evictions: Spread,
-    /// Changes of a task's share of processors.
+    /// Changes of a task's CPU share.
     pub throttles: Spread,
     /// Runs that failed on bad workers.
     pub failures: Spread,
@@ -121,9 +121,9 @@
     pub lost_s: Spread,
     /// Longest wait of an urgent task, in seconds.
     pub urgent_wait_s: Spread,
-    /// Times that a worker was committed beyond its size.
+    /// Ticks in which a worker was committed beyond its capacity, over all workers.
     pub overcommits: Spread,
-    /// Decisions a second on one core; only when asked for.
+    /// Decisions per second on one core, if measured.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub decisions_per_second: Option<Spread>,
 }
@@ -182,7 +182,7 @@
     }
 }
 
-/// What each policy made of a trace.
+/// Results of all policies on a trace.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Report {
@@ -200,7 +200,7 @@
         serde_json::to_string_pretty(self).expect("a report has a JSON form")
     }
 
-    /// Part of one policy, if it was replayed.
+    /// Report of one policy, if it was replayed.
     pub fn policy(&self, policy: Policy) -> Option<&PolicyReport> {
         self.policies.iter().find(|report| report.policy == policy)
     }
@@ -231,14 +231,14 @@
         let Some(first) = self.policies.first() else {
             return Ok(());
         };
-        let columns: [Column; 4] = [
+        let rows: [KindRow; 4] = [
             ("p50 ms", |kind| kind.p50_ms),
             ("p99 ms", |kind| kind.p99_ms),
             ("p99.9 ms", |kind| kind.p999_ms),
             ("missed %", |kind| kind.missed_percent),
         ];
         for name in first.kinds.keys() {
-            for (label, figure) in columns {
+            for (label, figure) in rows {
                 let kinds = self.policies.iter().map(|policy| policy.kinds.get(name));
                 let cells: Vec<String> = kinds
                     .map(|kind| kind.map_or(String::new(), |kind| figure(kind).to_string()))
--- a/crates/verbenahitch/src/replay/serving.rs
+++ b/crates/verbenahitch/src/replay/serving.rs
@@ -8,7 +8,7 @@
 use super::cell::{Cell, Policy};
 use super::driver::{Driver, TICK_MS};
 use super::fleet::Worker;
-use super::model::{Beside, Model, normal};
+use super::model::{Colocated, Model, normal};
 use super::tally::Answers;
 use super::trace::{Event, Kind};
 use crate::collections::HashMap;
@@ -16,15 +16,18 @@
 use crate::placement::{Resident, WorkerState};
 use crate::port::{LatencyReport, TaskUsage, Usage};
 
-const SAMPLES: u64 = 6;
+/// Latencies that are drawn per worker, kind and tick; each represents an equal
+/// number of requests.
+const SAMPLES_PER_TICK: u64 = 6;
 const REPORT_LAG_MS: Millis = 3_000;
+/// Standard deviation of the logarithm of the noise on reported latencies.
 const REPORT_NOISE: f64 = 0.15;
-/// Load that reserved workers are sized for.
+/// Load that the number of reserved workers is sized for.
 const RESERVED_LOAD: f64 = 0.8;
 
 impl Driver<'_> {
-    /// Part of the workers that the peak of the requests needs.
-    pub(super) fn peak_part(&self) -> f64 {
+    /// Fraction of the workers that the peak request load needs.
+    pub(super) fn peak_fraction(&self) -> f64 {
         let mut peaks: HashMap<&str, f64> = HashMap::default();
         let mut workers = 0;
         for entry in &self.trace.entries {
@@ -57,7 +60,7 @@
         let mut added = Cell::new(self.policy, cell_seed);
         added.placer.declare(Arc::clone(&self.declared), 1.0);
         self.cells.push(added);
-        let reserved = (self.reserved_part * count as f64).ceil() as usize;
+        let reserved = (self.reserved_fraction * count as f64).ceil() as usize;
         for at in 0..count {
             self.workers.push(Worker {
                 name: format!("{zone}-{at}"),
@@ -68,7 +71,7 @@
                 up: false,
                 bad: false,
                 serves: self.policy != Policy::Reserved || at < reserved,
-                streak: 0,
+                consecutive_failures: 0,
                 runs: Vec::new(),
                 reports: std::collections::VecDeque::new(),
             });
@@ -82,7 +85,7 @@
             return;
         }
         worker.up = true;
-        worker.streak = 0;
+        worker.consecutive_failures = 0;
         let cell = &mut self.cells[worker.cell];
         worker.key = cell
             .placer
@@ -92,28 +95,29 @@
             cell.chooser.reserved.insert(worker.key);
         }
         if worker.serves {
-            self.settle_upstream(at);
+            self.commit_upstreams(at);
         }
     }
 
-    /// Commits what the worker's upstream takes.
-    fn settle_upstream(&mut self, at: usize) {
+    /// Commits the resources of a worker's upstreams.
+    fn commit_upstreams(&mut self, at: usize) {
         let worker = &self.workers[at];
-        let services: Vec<JobKey> = self.kinds.iter().map(|(_, job)| *job).collect();
-        for job in services {
+        let upstream_jobs: Vec<JobKey> = self.kinds.iter().map(|(_, job)| *job).collect();
+        for job in upstream_jobs {
             self.next_run += 1;
-            let service = &self.jobs[job];
+            let upstream = &self.jobs[job];
             let index = u32::try_from(at).unwrap_or(u32::MAX);
             let resident = Resident {
                 task: TaskKey { job, index },
                 run: self.next_run,
-                name: Arc::clone(&service.name),
-                profile: Arc::clone(&service.profile),
-                resources: service.profile.resources,
+                name: Arc::clone(&upstream.name),
+                profile: Arc::clone(&upstream.profile),
+                resources: upstream.profile.resources,
                 since: self.now,
             };
             let placer = &mut self.cells[worker.cell].placer;
-            // An upstream larger than its worker shows as batch finding no room.
+            // An upstream that does not fit is not committed here;
+            // `check_commitments` counts the worker as overcommitted then.
             let _ = placer.occupy(worker.key, resident);
         }
     }
@@ -133,14 +137,14 @@
         cell.chooser.order.retain(|key| *key != worker.key);
     }
 
-    /// Answers the requests of one tick and measures them.
+    /// Answers the requests of one tick and queues the usage reports.
     pub(super) fn serve(&mut self) {
         let serving: Vec<usize> = (0..self.workers.len())
             .filter(|at| self.is_serving(*at))
             .collect();
         let load = self.load(serving.len());
-        // The draws depend on the seed and the time alone, so that policies
-        // are compared on the same requests.
+        // The draws depend only on the seed and the time, so that policies are
+        // compared on the same requests.
         let stream = self.seed.wrapping_mul(1_000_003) ^ self.now.0;
         let mut rng = ChaCha8Rng::seed_from_u64(stream);
         for at in 0..self.workers.len() {
@@ -164,7 +168,7 @@
         worker.up && worker.serves && self.cells[worker.cell].in_service
     }
 
-    /// Part of its capacity that each of the serving workers uses.
+    /// Fraction of its request capacity that each serving worker uses.
     fn load(&self, serving: usize) -> f64 {
         let loads = self
             .kinds
@@ -185,9 +189,9 @@
         serving: usize,
         rng: &mut ChaCha8Rng,
     ) -> LatencyReport {
-        let ratio = self.model.ratio(kind, load, &self.beside(at));
+        let ratio = self.model.ratio(kind, load, &self.colocated(at));
         let per_tick = self.rate(kind) / serving.max(1) as f64 * TICK_MS as f64 / 1_000.0;
-        let weight = ((per_tick / SAMPLES as f64).round() as u64).max(1);
+        let weight = ((per_tick / SAMPLES_PER_TICK as f64).round() as u64).max(1);
         let profile = &self.declared.profiles[&kind.profile];
         let target_us = profile.target_ms as f64 * 1_000.0;
         let answers = self
@@ -195,7 +199,7 @@
             .kinds
             .entry(kind.profile.clone())
             .or_insert_with(|| Answers::new(profile.worth));
-        for _ in 0..SAMPLES {
+        for _ in 0..SAMPLES_PER_TICK {
             let latency_us = Model::latency_us(kind, ratio, rng);
             answers.record(latency_us, target_us, weight);
         }
@@ -209,20 +213,20 @@
         }
     }
 
-    /// Batch tasks beside the upstream of a worker.
-    fn beside(&self, at: usize) -> Vec<Beside<'_>> {
-        let mut all: Vec<Beside<'_>> = Vec::new();
+    /// Batch tasks on a worker, by profile.
+    fn colocated(&self, at: usize) -> Vec<Colocated<'_>> {
+        let mut groups: Vec<Colocated<'_>> = Vec::new();
         for id in &self.workers[at].runs {
             let run = &self.runs[id];
-            match all.iter_mut().find(|beside| *beside.profile == *run.name) {
-                Some(beside) => beside.share += run.share,
-                None => all.push(Beside {
+            match groups.iter_mut().find(|group| *group.profile == *run.name) {
+                Some(group) => group.share += run.share,
+                None => groups.push(Colocated {
                     profile: &run.name,
                     share: run.share,
                 }),
             }
         }
-        all
+        groups
     }
 
     fn usage(&self, at: usize, latency: Vec<LatencyReport>) -> Usage {
@@ -244,7 +248,7 @@
         }
     }
 
-    /// Hands over the reports that have arrived.
+    /// Delivers the reports whose lag has passed.
     pub(super) fn deliver_reports(&mut self) {
         for worker in &mut self.workers {
             let arrived = |at: Monotonic| self.now.since(at) >= REPORT_LAG_MS;
@@ -258,7 +262,7 @@
         }
     }
 
-    /// Counts workers whose runs and upstream hold more than its size.
+    /// Counts workers whose runs and upstreams commit more than the capacity.
     pub(super) fn check_commitments(&mut self) {
         for at in 0..self.workers.len() {
             let committed = self.committed(at);
@@ -271,9 +275,9 @@
     fn committed(&self, at: usize) -> Resources {
         let worker = &self.workers[at];
         let runs = worker.runs.iter().map(|id| self.runs[id].committed);
-        let services = self.kinds.iter().filter(|_| worker.serves);
-        let upstream = services.map(|(_, job)| self.jobs[*job].profile.resources);
-        runs.chain(upstream)
+        let kinds = self.kinds.iter().filter(|_| worker.serves);
+        let upstreams = kinds.map(|(_, job)| self.jobs[*job].profile.resources);
+        runs.chain(upstreams)
             .fold(Resources::ZERO, |sum, next| sum + next)
     }
 }
--- a/crates/verbenahitch/src/replay/tally.rs
+++ b/crates/verbenahitch/src/replay/tally.rs
@@ -1,13 +1,13 @@
-//! What one replay counted.
+//! Counters of one replay.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 
-const LONGEST_US: u64 = 600_000_000;
+const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// Answers of one kind.
+/// Answers to requests of one kind.
 #[derive(Debug)]
 pub(super) struct Answers {
     pub(super) latency_us: Histogram<u64>,
@@ -17,7 +17,7 @@
 
 impl Answers {
     pub(super) fn new(worth: u32) -> Self {
-        let latency_us = Histogram::new_with_max(LONGEST_US, 3).expect("bounds are valid");
+        let latency_us = Histogram::new_with_max(MAX_LATENCY_US, 3).expect("bounds are valid");
         Self {
             latency_us,
             missed: 0,
@@ -35,7 +35,7 @@
     }
 }
 
-/// Tasks of one batch profile.
+/// Task counts of one batch profile.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Batch {
     pub(super) worth: u32,
@@ -52,7 +52,7 @@
     }
 }
 
-/// What one replay counted.
+/// Counters of one replay.
 #[derive(Debug, Default)]
 pub(super) struct Tally {
     pub(super) kinds: BTreeMap<String, Answers>,
@@ -69,7 +69,7 @@
     pub(super) urgent_wait_ms: u64,
     pub(super) end_ms: u64,
     pub(super) decisions: u64,
-    pub(super) deciding: Duration,
+    pub(super) decision_time: Duration,
 }
 
 impl Tally {
@@ -100,7 +100,7 @@
         finished as f64
     }
 
-    /// Tasks of a profile.
+    /// Task counts of a profile.
     pub(super) fn batch(&mut self, profile: &str) -> &mut Batch {
         self.batches.entry(profile.to_owned()).or_default()
     }
@@ -111,7 +111,7 @@
     }
 
     pub(super) fn decisions_per_second(&self) -> f64 {
-        self.decisions as f64 / self.deciding.as_secs_f64().max(1e-9)
+        self.decisions as f64 / self.decision_time.as_secs_f64().max(1e-9)
     }
 }
 
--- a/crates/verbenahitch/src/replay/trace.rs
+++ b/crates/verbenahitch/src/replay/trace.rs
@@ -1,4 +1,4 @@
-//! Format of a trace: one JSON object a line, in the order of time.
+//! Trace format: one JSON object per line, in order of time.
 
 use std::path::Path;
 
@@ -16,11 +16,11 @@
 pub struct Entry {
     /// Time since the start in milliseconds.
     pub at_ms: Millis,
-    /// What happens.
+    /// Event at that time.
     pub event: Event,
 }
 
-/// What happens in a trace.
+/// Event in a trace.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Event {
@@ -39,9 +39,9 @@
     },
     /// A kind of request that every worker's upstream answers.
     Kind(Kind),
-    /// What truly slows what; hidden from the decisions.
+    /// True interference and usage, which the decisions cannot read.
     Truth(Truth),
-    /// Requests a second of one kind over all workers, from now on.
+    /// Request rate of one kind over all workers, from this entry on.
     Load {
         /// Profile of the requests.
         profile: String,
@@ -55,24 +55,24 @@
         /// Its name.
         job: String,
     },
-    /// Tasks of a profile press `factor` times as much as usual, from now on.
+    /// Multiplies the interference that tasks of a profile cause, from this entry on.
     Noise {
         /// Profile of the tasks.
         profile: String,
-        /// Factor.
+        /// Factor relative to the true interference; 1.0 is no noise.
         factor: f64,
     },
-    /// A worker dies with all it runs.
+    /// A worker fails, and all its runs end.
     Down {
         /// Its name.
         worker: String,
     },
-    /// A worker is back, empty.
+    /// A failed worker is back, without any runs.
     Up {
         /// Its name.
         worker: String,
     },
-    /// A worker fails whatever starts on it.
+    /// Every run on a worker fails, from this entry on.
     Bad {
         /// Its name.
         worker: String,
@@ -92,9 +92,9 @@
         /// Its name.
         zone: String,
     },
-    /// The store stops answering: nothing is accepted or cancelled.
+    /// The store stops answering: jobs are neither accepted nor cancelled.
     StoreDown,
-    /// The store answers again: callers repeat what was not accepted.
+    /// The store answers again, and callers repeat their deferred requests.
     StoreUp,
     /// The trace ends; the last line.
     End,
@@ -106,7 +106,7 @@
 pub struct Kind {
     /// Profile of the requests; its resources are the upstream's on each worker.
     pub profile: String,
-    /// Median latency alone without load, in microseconds.
+    /// Median baseline latency without load, in microseconds.
     pub alone_us: f64,
     /// Standard deviation of the logarithm of the latency.
     pub sigma: f64,
@@ -114,7 +114,7 @@
     pub capacity: f64,
 }
 
-/// What truly slows what, and what tasks truly use.
+/// True interference between profiles and true usage of tasks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Truth {
@@ -132,7 +132,7 @@
     pub victim: String,
     /// Profile that slows it.
     pub source: String,
-    /// Part of the latency alone that one task adds at half load.
+    /// Fraction of the baseline latency that one task adds at half load.
     pub slope: f64,
 }
 
@@ -142,9 +142,9 @@
 pub struct Work {
     /// Profile.
     pub profile: String,
-    /// Thousandths of a core that a task would use.
+    /// Thousandths of a core that a task uses if it gets them.
     pub millicores: u64,
-    /// Memory that a task would use, in mebibytes.
+    /// Memory that a task uses if it gets it, in mebibytes.
     pub memory_mib: u64,
 }
 
@@ -158,7 +158,7 @@
     pub profile: String,
     /// Number of tasks.
     pub tasks: u32,
-    /// True run time of a task with all that it would use, in milliseconds.
+    /// True run time of a task that gets all that it can use, in milliseconds.
     pub run_ms: Millis,
 }
 
@@ -167,7 +167,7 @@
 pub struct Trace {
     /// Name for reports.
     pub name: String,
-    /// Entries in the order of time.
+    /// Entries in order of time.
     pub entries: Vec<Entry>,
 }
 
@@ -176,7 +176,7 @@
     ///
     /// # Errors
     ///
-    /// When it cannot be read or has a fault.
+    /// When it cannot be read or is invalid.
     pub fn load(path: &Path) -> Result<Self, ReplayError> {
         let text = std::fs::read_to_string(path).context(ReadSnafu { path })?;
         let name = path
@@ -189,7 +189,7 @@
     ///
     /// # Errors
     ///
-    /// When a line has a fault.
+    /// When a line is invalid.
     pub fn parse(name: &str, text: &str) -> Result<Self, ReplayError> {
         let mut entries = Vec::new();
         for (at, line) in text.lines().enumerate() {
@@ -223,13 +223,13 @@
 
     fn check(&self) -> Result<(), ReplayError> {
         let declared = self.declarations();
-        let mut known = Known::default();
+        let mut seen = SeenNames::default();
         let mut before = 0;
         for (at, entry) in self.entries.iter().enumerate() {
             let first = at == 0;
             let last = at + 1 == self.entries.len();
             let order = check_order(entry, before, first, last);
-            let fault = order.or_else(|| known.fault(&entry.event, &declared));
+            let fault = order.or_else(|| seen.fault(&entry.event, &declared));
             if let Some(reason) = fault {
                 return InvalidSnafu {
                     line: at + 1,
@@ -256,32 +256,34 @@
         return Some(format!("at-ms {} is before {before}", entry.at_ms));
     }
     if first != matches!(entry.event, Event::Declare(_)) {
-        return Some("declare is the first line and only that".to_owned());
+        return Some("declare is the first line and must not occur again".to_owned());
     }
     if last != matches!(entry.event, Event::End) {
-        return Some("end is the last line and only that".to_owned());
+        return Some("end is the last line and must not occur before".to_owned());
     }
     None
 }
 
-/// Names that earlier lines brought.
+/// Names that earlier lines have defined.
 #[derive(Default)]
-struct Known {
+struct SeenNames {
     zones: HashSet<String>,
     workers: HashSet<String>,
     jobs: HashSet<String>,
 }
 
-impl Known {
+impl SeenNames {
     fn fault(&mut self, event: &Event, declared: &Declarations) -> Option<String> {
-        let profile = |name: &str, class: Class| match declared.profiles.get(name) {
+        let check_profile = |name: &str, class: Class| match declared.profiles.get(name) {
             Some(profile) if profile.class == class => None,
-            Some(_) => Some(format!("profile {name:?} is of the other class")),
+            Some(_) => Some(format!(
+                "profile {name:?}: requests need class latency-critical, jobs need batch"
+            )),
             None => Some(format!("profile {name:?} is not declared")),
         };
-        let positive = |name: &str, amount: f64| {
-            let fine = amount.is_finite() && amount >= 0.0;
-            (!fine).then(|| format!("{name} is {amount}, allowed are 0.0 and above"))
+        let negative = |name: &str, amount: f64| {
+            let valid = amount.is_finite() && amount >= 0.0;
+            (!valid).then(|| format!("{name} is {amount}, allowed are 0.0 and above"))
         };
         match event {
             Event::Declare(declared) => declared
@@ -299,29 +301,29 @@
                     .extend((0..*count).map(|at| format!("{zone}-{at}")));
                 (*per_rack == 0).then(|| "per-rack is 0, allowed are 1 and above".to_owned())
             }
-            Event::Kind(kind) => profile(&kind.profile, Class::LatencyCritical)
-                .or_else(|| positive("alone-us", kind.alone_us))
-                .or_else(|| positive("sigma", kind.sigma))
-                .or_else(|| positive("capacity", kind.capacity)),
+            Event::Kind(kind) => check_profile(&kind.profile, Class::LatencyCritical)
+                .or_else(|| negative("alone-us", kind.alone_us))
+                .or_else(|| negative("sigma", kind.sigma))
+                .or_else(|| negative("capacity", kind.capacity)),
             Event::Truth(truth) => truth
                 .pairs
                 .iter()
-                .find_map(|pair| positive("slope", pair.slope)),
+                .find_map(|pair| negative("slope", pair.slope)),
             Event::Load {
                 profile: name,
                 rate,
-            } => profile(name, Class::LatencyCritical).or_else(|| positive("rate", *rate)),
+            } => check_profile(name, Class::LatencyCritical).or_else(|| negative("rate", *rate)),
             Event::Submit(submit) => {
                 if !self.jobs.insert(submit.job.clone()) {
                     return Some(format!("job {:?} was submitted before", submit.job));
                 }
-                profile(&submit.profile, Class::Batch)
+                check_profile(&submit.profile, Class::Batch)
             }
             Event::Cancel { job } => unknown(&self.jobs, "job", job),
             Event::Noise {
                 profile: name,
                 factor,
-            } => profile(name, Class::Batch).or_else(|| positive("factor", *factor)),
+            } => check_profile(name, Class::Batch).or_else(|| negative("factor", *factor)),
             Event::Down { worker }
             | Event::Up { worker }
             | Event::Bad { worker }
@@ -332,6 +334,6 @@
     }
 }
 
-fn unknown(known: &HashSet<String>, what: &str, name: &str) -> Option<String> {
-    (!known.contains(name)).then(|| format!("{what} {name:?} is not known"))
+fn unknown(names: &HashSet<String>, what: &str, name: &str) -> Option<String> {
+    (!names.contains(name)).then(|| format!("{what} {name:?} is not known"))
 }
--- a/testsuite/tests/testsuite/replay/outcome.rs
+++ b/testsuite/tests/testsuite/replay/outcome.rs
@@ -1,4 +1,4 @@
-//! Replays of both deployments' days, against their stated outcomes.
+//! Replays of the traces of both deployments, compared with their expected outcomes.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -8,15 +8,15 @@
 use test_case::test_case;
 use verbenahitch::replay::{Options, Policy, PolicyReport, Report, run};
 
-/// What was stated of a trace before it was replayed.
+/// Expected outcome of a trace, stated before it was first replayed.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 struct Outcome {
-    /// Largest ratio of p99 to that without batch.
+    /// Largest ratio of the p99 latency to that without batch.
     p99_ratio: BTreeMap<String, f64>,
-    /// Least batch throughput, in percent of first fit's.
+    /// Minimum batch throughput, in percent of first fit's.
     throughput_percent: f64,
-    /// Least part of the tasks that finish by their deadline.
+    /// Minimum of the tasks that finish by their deadline, in percent.
     timely_percent: BTreeMap<String, f64>,
     /// Longest wait of an urgent task.
     urgent_wait_s: f64,
@@ -33,7 +33,8 @@
 
 fn outcome(name: &str) -> Outcome {
     let text = std::fs::read_to_string(fixture(&format!("{name}.outcome.json")));
-    serde_json::from_str(&text.expect("it is committed")).expect("it has the fields")
+    serde_json::from_str(&text.expect("the outcome is committed"))
+        .expect("the outcome has all fields")
 }
 
 /// Replay of a trace, run once for all tests of this process.
@@ -46,11 +47,11 @@
     };
     cell.get_or_init(|| {
         let trace = fixture(&format!("{name}.jsonl"));
-        run(&trace, &Options::default()).expect("the trace is whole")
+        run(&trace, &Options::default()).expect("the trace is valid")
     })
 }
 
-fn of(report: &Report, policy: Policy) -> &PolicyReport {
+fn policy_report(report: &Report, policy: Policy) -> &PolicyReport {
     report.policy(policy).expect("every policy was replayed")
 }
 
@@ -62,10 +63,10 @@
 
 #[test_case("bureau"; "bureau")]
 #[test_case("kilele"; "kilele")]
-fn latency_beside_batch_stays_near_that_without(name: &str) {
+fn latency_with_batch_stays_near_the_baseline_latency(name: &str) {
     let report = replayed(name);
     for (kind, most) in outcome(name).p99_ratio {
-        let p99 = |policy| of(report, policy).kinds[&kind].p99_ms.mean;
+        let p99 = |policy| policy_report(report, policy).kinds[&kind].p99_ms.mean;
         let ratio = p99(Policy::Aware) / p99(Policy::Alone);
         assert!(ratio <= most, "{kind}: {ratio}");
     }
@@ -75,15 +76,15 @@
 #[test_case("kilele"; "kilele")]
 fn batch_throughput_stays_near_that_of_first_fit(name: &str) {
     let report = replayed(name);
-    let throughput = |policy| of(report, policy).throughput.mean;
+    let throughput = |policy| policy_report(report, policy).throughput.mean;
     let percent = 100.0 * throughput(Policy::Aware) / throughput(Policy::FirstFit);
     assert!(percent >= outcome(name).throughput_percent, "{percent}");
 }
 
 #[test_case("bureau"; "bureau")]
 #[test_case("kilele"; "kilele")]
-fn what_must_finish_by_its_deadline_does(name: &str) {
-    let aware = of(replayed(name), Policy::Aware);
+fn tasks_finish_by_their_deadline(name: &str) {
+    let aware = policy_report(replayed(name), Policy::Aware);
     for (profile, least) in outcome(name).timely_percent {
         let timely = aware.batches[&profile].least;
         assert!(timely >= least, "{profile}: {timely}");
@@ -92,14 +93,16 @@
 
 #[test_case("bureau"; "bureau")]
 #[test_case("kilele"; "kilele")]
-fn urgent_work_starts_in_time(name: &str) {
-    let waited = of(replayed(name), Policy::Aware).urgent_wait_s.most;
+fn urgent_tasks_start_in_time(name: &str) {
+    let waited = policy_report(replayed(name), Policy::Aware)
+        .urgent_wait_s
+        .most;
     assert!(waited <= outcome(name).urgent_wait_s, "{waited}");
 }
 
 #[test_case("bureau"; "bureau")]
 #[test_case("kilele"; "kilele")]
-fn no_worker_is_ever_committed_beyond_its_size(name: &str) {
+fn no_worker_is_committed_beyond_its_capacity(name: &str) {
     for policy in &replayed(name).policies {
         assert_eq!(policy.overcommits.most, outcome(name).overcommits);
     }
@@ -107,8 +110,8 @@
 
 #[test_case("bureau"; "bureau")]
 #[test_case("kilele"; "kilele")]
-fn what_can_never_run_is_refused_and_nothing_else(name: &str) {
-    let refused = of(replayed(name), Policy::Aware).refused;
+fn only_tasks_that_fit_no_worker_are_refused(name: &str) {
+    let refused = policy_report(replayed(name), Policy::Aware).refused;
     assert_eq!(
         (refused.least, refused.most),
         (4.0, outcome(name).refused_tasks)
@@ -117,11 +120,11 @@
 
 #[test_case("bureau"; "bureau")]
 #[test_case("kilele"; "kilele")]
-fn the_baselines_slow_answers_more(name: &str) {
+fn baseline_policies_have_a_higher_p99(name: &str) {
     let report = replayed(name);
     let mut stated = outcome(name).p99_ratio;
     let (kind, _) = stated.pop_last().expect("kinds are stated");
-    let p99 = |policy| of(report, policy).kinds[&kind].p99_ms.mean;
+    let p99 = |policy| policy_report(report, policy).kinds[&kind].p99_ms.mean;
     assert!(p99(Policy::Aware) < p99(Policy::FirstFit));
     assert!(p99(Policy::Aware) < p99(Policy::Reserved));
 }
