--- a/crates/verbenahitch/benches/placement.rs
+++ b/crates/verbenahitch/benches/placement.rs
@@ -1,9 +1,9 @@
-//! Cost of choosing, occupying and vacating at 50, 300 and 1,200 workers:
+//! Cost of choosing a worker, and of occupying and vacating it, at 50, 300 and 1,200 workers:
 //! `cargo bench -p verbenahitch --bench placement`.
 //!
-//! Each shard is filled as at the size that the design is for: 5,200
-//! latency-critical and 6,600 batch tasks on 1,200 workers, nearly full. Besides Criterion's
-//! figures of the mean, the percentiles of single decisions are printed.
+//! Each shard is filled in the proportions of the size that the system is designed for:
+//! 5,200 latency-critical and 6,600 batch tasks on 1,200 workers, which are nearly full.
+//! Criterion reports mean times; the benchmark also prints percentiles of single decisions.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -20,16 +20,18 @@
 
 const SIZES: [usize; 3] = [50, 300, 1_200];
 const BATCH_PROFILES: usize = 24;
-const TENTHS_SERVICE: usize = 43;
-const TENTHS_BATCH: usize = 55;
+/// Latency-critical tasks per ten workers.
+const SERVICE_TENTHS: usize = 43;
+/// Batch tasks per ten workers.
+const BATCH_TENTHS: usize = 55;
 const SINGLE_DECISIONS: u64 = 200_000;
-const LONGEST_NANOS: u64 = 10_000_000_000;
+const MAX_NANOS: u64 = 10_000_000_000;
 
-/// A change of an ordinary ask.
+/// Change made to the ask of an ordinary task.
 type Change = fn(Ask) -> Ask;
 
-/// What is asked: ordinary tasks, tasks that only a scan of all workers can
-/// refuse, and urgent tasks that need evictions.
+/// Benchmark cases: ordinary tasks, tasks that can only be refused after a scan of all
+/// workers, and urgent tasks that need evictions.
 const CASES: [(&str, Change); 3] = [
     ("choose", |ask| ask),
     ("refuse", |ask| sized(ask, Resources::new(1, 60_000), false)),
@@ -43,7 +45,7 @@
     ask
 }
 
-/// A filled shard and the asks that are made of it.
+/// A filled shard, with the means to create further asks.
 struct Shard {
     placer: Placer,
     workers: Vec<WorkerKey>,
@@ -53,7 +55,7 @@
     next: usize,
 }
 
-fn batch(at: usize) -> Profile {
+fn batch_profile(at: usize) -> Profile {
     Profile {
         class: Class::Batch,
         team: format!("team-{}", at % 48),
@@ -70,14 +72,14 @@
     }
 }
 
-fn service(at: usize) -> Profile {
+fn service_profile(at: usize) -> Profile {
     Profile {
         class: Class::LatencyCritical,
         resources: Resources::new(2, 4_096),
         target_ms: 50,
         deadline_ms: 500,
         max_slowdown: 1.4,
-        ..batch(at)
+        ..batch_profile(at)
     }
 }
 
@@ -90,7 +92,12 @@
             placer.add_worker(capacity, &rack, WorkerState::Open)
         });
         let workers = workers.collect();
-        let named = |at: usize| (Arc::from(format!("batch-{at}")), Arc::new(batch(at)));
+        let named = |at: usize| {
+            (
+                Arc::from(format!("batch-{at}")),
+                Arc::new(batch_profile(at)),
+            )
+        };
         let mut shard = Self {
             placer,
             workers,
@@ -104,9 +111,9 @@
     }
 
     fn fill(&mut self, size: usize) {
-        for at in 0..size * TENTHS_SERVICE / 10 {
+        for at in 0..size * SERVICE_TENTHS / 10 {
             let name: Arc<str> = Arc::from(format!("service-{}", at % 4));
-            let ask = self.ask_for(name, Arc::new(service(at % 4)));
+            let ask = self.ask_for(name, Arc::new(service_profile(at % 4)));
             match self.workers.get(at).copied() {
                 Some(worker) => self.occupy(worker, &ask),
                 None => {
@@ -114,7 +121,7 @@
                 }
             }
         }
-        for _ in 0..size * TENTHS_BATCH / 10 {
+        for _ in 0..size * BATCH_TENTHS / 10 {
             let ask = self.ask();
             self.place(&ask);
         }
@@ -157,12 +164,12 @@
             resources: ask.profile.resources,
             since: Monotonic(0),
         };
-        let taken = self.placer.occupy(worker, resident);
-        taken.expect("what was chosen fits");
+        let occupied = self.placer.occupy(worker, resident);
+        occupied.expect("the chosen worker has room for the task");
         self.runs.push((worker, ask.task));
     }
 
-    /// Lets every worker report, so that estimates take part in the scores.
+    /// Reports usage from every worker, so that the scores include interference estimates.
     fn report(&mut self) {
         for second in 1..10 {
             let now = Monotonic(1_000 * second);
@@ -189,7 +196,7 @@
         }
     }
 
-    /// One task ends, the next is placed: the steady state of a busy shard.
+    /// Ends one task and places the next, as in the steady state of a busy shard.
     fn turn_over(&mut self) {
         let at = self.next * 7_919 % self.runs.len();
         let (worker, task) = self.runs.swap_remove(at);
@@ -228,14 +235,14 @@
 }
 
 fn print_percentiles(shard: &Shard, asks: &[Ask], name: &str, size: usize) {
-    let mut nanos = Histogram::<u64>::new_with_max(LONGEST_NANOS, 3).expect("bounds are valid");
+    let mut nanos = Histogram::<u64>::new_with_max(MAX_NANOS, 3).expect("the bounds are valid");
     let (mut placed, mut evicted) = (0_u64, 0_u64);
     for at in 0..SINGLE_DECISIONS {
         let ask = &asks[at as usize % asks.len()];
-        let begun = Instant::now();
+        let start = Instant::now();
         let choice = black_box(shard.placer.choose(ask, Monotonic(at)));
-        let taken = u64::try_from(begun.elapsed().as_nanos()).unwrap_or(u64::MAX);
-        nanos.saturating_record(taken);
+        let elapsed = u64::try_from(start.elapsed().as_nanos()).unwrap_or(u64::MAX);
+        nanos.saturating_record(elapsed);
         placed += u64::from(matches!(choice, Choice::Place { .. }));
         evicted += u64::from(matches!(choice, Choice::Evict { .. }));
     }
--- a/crates/verbenahitch/benches/routing.rs
+++ b/crates/verbenahitch/benches/routing.rs
@@ -1,4 +1,4 @@
-//! Cost of a routing decision: choosing an upstream, and freeing its slot.
+//! Cost of a routing decision: choosing an upstream and releasing its slot.
 //!
 //! Before it measures time, the benchmark counts allocations and fails if a
 //! decision makes any.
@@ -19,24 +19,24 @@
 
 static ALLOCATIONS: AtomicU64 = AtomicU64::new(0);
 
-struct Counting;
+struct CountingAllocator;
 
-// SAFETY: every call is passed on to the system's allocator unchanged.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: every call is passed unchanged to the system allocator.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         ALLOCATIONS.fetch_add(1, Ordering::Relaxed);
-        // SAFETY: the caller keeps the contract of `alloc`.
+        // SAFETY: the caller upholds the contract of `alloc`.
         unsafe { System.alloc(layout) }
     }
 
-    unsafe fn dealloc(&self, at: *mut u8, layout: Layout) {
-        // SAFETY: `at` came from `alloc` above with this layout.
-        unsafe { System.dealloc(at, layout) }
+    unsafe fn dealloc(&self, ptr: *mut u8, layout: Layout) {
+        // SAFETY: `ptr` came from `alloc` above with this layout.
+        unsafe { System.dealloc(ptr, layout) }
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 fn table(workers: u16) -> Table {
     let zone = |name: &str| {
@@ -73,7 +73,7 @@
     Table::default().next(&place, &hosts, Arc::new(declarations))
 }
 
-fn dice(state: &mut u64) -> u64 {
+fn next_random(state: &mut u64) -> u64 {
     *state = state.wrapping_mul(0x5851_f42d_4c95_7f2d).wrapping_add(1);
     *state ^ (*state >> 29)
 }
@@ -82,10 +82,10 @@
     let mut state = 1;
     let before = ALLOCATIONS.load(Ordering::Relaxed);
     for _ in 0..10_000 {
-        drop(black_box(table.choose(NOW, dice(&mut state), &[])));
+        drop(black_box(table.choose(NOW, next_random(&mut state), &[])));
     }
-    let made = ALLOCATIONS.load(Ordering::Relaxed) - before;
-    assert_eq!(made, 0, "a routing decision allocates");
+    let allocations = ALLOCATIONS.load(Ordering::Relaxed) - before;
+    assert_eq!(allocations, 0, "a routing decision allocates");
 }
 
 fn decide(criterion: &mut Criterion) {
@@ -93,14 +93,14 @@
     for workers in [50, 240, 1_200] {
         let table = table(workers);
         check_allocations(&table);
-        for (load, taken) in [("idle", 0), ("half", 4), ("full", 8)] {
+        for (load, in_flight) in [("idle", 0), ("half", 4), ("full", 8)] {
             let held: Vec<_> = table
                 .upstreams()
-                .flat_map(|upstream| (0..taken).filter_map(|_| upstream.try_take(NOW)))
+                .flat_map(|upstream| (0..in_flight).filter_map(|_| upstream.try_take(NOW)))
                 .collect();
             let mut state = 1;
             group.bench_function(BenchmarkId::new(load, workers), |bencher| {
-                bencher.iter(|| table.choose(NOW, dice(&mut state), &[]));
+                bencher.iter(|| table.choose(NOW, next_random(&mut state), &[]));
             });
             drop(held);
         }
--- a/crates/verbenahitch/examples/added_latency.rs
+++ b/crates/verbenahitch/examples/added_latency.rs
@@ -1,12 +1,12 @@
-//! Latency that the gateway adds to calling an upstream directly, and the
-//! requests it carries per core.
+//! Latency that the gateway adds to a direct call of an upstream, and the requests
+//! per second that it serves per core.
 //!
-//! The upstreams, the gateway and the callers run in processes of their own on
-//! loopback. Direct and routed calls take turns within one run.
+//! The upstreams, the gateway and the callers run in separate processes on loopback.
+//! Measurements of direct and of routed calls alternate within one run.
 //!
 //! Usage: `cargo run --release --example added_latency [seconds] [rate] [threads]`,
-//! with the seconds of each measurement, the requests a second below saturation,
-//! and the threads of the gateway.
+//! with the length of each measurement, a rate below saturation in requests per second,
+//! and the number of gateway threads.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -99,34 +99,34 @@
 }
 
 async fn gateway(upstream: &str) {
-    let nowhere = "127.0.0.1:9";
+    let unreachable = "127.0.0.1:9";
     let settings: Settings = serde_json::from_value(json!({
         "name": "gw-1", "zone": "a",
-        "platform": { "store": nowhere, "hosts": nowhere },
+        "platform": { "store": unreachable, "hosts": unreachable },
         "peers": { "token-file": "unused", "seeds": [] },
-        "gateway": { "callers": "127.0.0.1:0", "operators": nowhere, "metrics": nowhere,
-                     "peers": nowhere, "subset": UPSTREAMS },
-        "scheduler": { "metrics": nowhere, "peers": nowhere }
+        "gateway": { "callers": "127.0.0.1:0", "operators": unreachable, "metrics": unreachable,
+                     "peers": unreachable, "subset": UPSTREAMS },
+        "scheduler": { "metrics": unreachable, "peers": unreachable }
     }))
     .expect("the settings are valid");
-    let nothing = json!({ "millicores": 1, "memory-mib": 1 });
+    let minimal = json!({ "millicores": 1, "memory-mib": 1 });
     let declarations: Declarations = serde_json::from_value(json!({
         "revision": 1,
-        "teams": { "t": { "quota": nothing, "token-digest": "0".repeat(64) } },
+        "teams": { "t": { "quota": minimal, "token-digest": "0".repeat(64) } },
         "profiles": { "quote": { "class": "latency-critical", "team": "t", "worth": 100,
-            "resources": nothing, "target-ms": 50, "deadline-ms": 5_000, "idempotent": true } },
+            "resources": minimal, "target-ms": 50, "deadline-ms": 5_000, "idempotent": true } },
         "kinds": { "quote": { "path": "/quote", "profile": "quote" } },
         "zones": { "a": { "state": "in" } }
     }))
     .expect("the declarations are valid");
     let current = Current::default();
     current.advance(Arc::new(declarations));
-    // One process stands for many upstreams, which together have slots for all callers.
+    // One process serves as all upstreams, which together have slots for all callers.
     let hosts = (0..UPSTREAMS).map(|number| HostRecord {
         name: format!("w-{number}"),
         zone: "a".to_owned(),
         rack: "r".to_owned(),
-        control: nowhere.to_owned(),
+        control: unreachable.to_owned(),
         upstream: upstream.to_owned(),
         slots: 32,
         capacity: Resources::default(),
@@ -137,7 +137,7 @@
         settings: Arc::new(settings),
         current,
         hosts: list,
-        store: Store::new(nowhere, 100),
+        store: Store::new(unreachable, 100),
         clock: Arc::new(SystemClock::default()),
     })
     .await
@@ -154,18 +154,18 @@
             .env("ROCKET_WORKERS", threads.to_string())
             .stdout(Stdio::piped())
             .spawn()
-            .expect("the program starts itself");
+            .expect("the program can be started again");
         let output = child.stdout.take().expect("the output is piped");
         let mut line = String::new();
         BufReader::new(output)
             .read_line(&mut line)
-            .expect("the process tells its address");
+            .expect("the process prints its address");
         let address = line.trim().parse().expect("an address");
         Self { child, address }
     }
 
-    /// Processor time in seconds.
-    fn cpu(&self) -> f64 {
+    /// CPU time used so far, in seconds.
+    fn cpu_s(&self) -> f64 {
         let stat = format!("/proc/{}/stat", self.child.id());
         let stat = std::fs::read_to_string(stat).unwrap_or_default();
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split(' ').collect();
@@ -185,20 +185,20 @@
     let upstream = Process::start(&["upstream"], UPSTREAM_THREADS);
     let gateway = Process::start(&["gateway", &upstream.address.to_string()], threads);
     println!(
-        "| callers | offered/s | way | answered/s | p50 us | p99 us | failed | gateway cores |"
+        "| callers | offered/s | route | answered/s | p50 us | p99 us | failed | gateway cores |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for (callers, rate) in [(1, 0), (100, rate), (1_000, rate), (100, 0)] {
-        for (way, target) in [("direct", &upstream), ("gateway", &gateway)] {
-            // Connections are opened before anything is measured.
+        for (route, target) in [("direct", &upstream), ("gateway", &gateway)] {
+            // Opens the connections before the measurement.
             run(target.address, callers, rate, Duration::from_secs(1)).await;
-            let (cpu, start) = (gateway.cpu(), Instant::now());
+            let (cpu, start) = (gateway.cpu_s(), Instant::now());
             let length = Duration::from_secs(seconds);
             let (times, failed) = run(target.address, callers, rate, length).await;
             let took = start.elapsed().as_secs_f64();
-            let cores = (gateway.cpu() - cpu) / took;
+            let cores = (gateway.cpu_s() - cpu) / took;
             println!(
-                "| {callers} | {} | {way} | {:.0} | {} | {} | {failed} | {cores:.2} |",
+                "| {callers} | {} | {route} | {:.0} | {} | {} | {failed} | {cores:.2} |",
                 if rate == 0 {
                     "closed loop".to_owned()
                 } else {
@@ -212,7 +212,8 @@
     }
 }
 
-/// Calls `address` by `callers` at `rate` requests a second in all; zero for one after the other.
+/// Calls `address` from `callers` concurrent callers at `rate` requests per second in total;
+/// a rate of zero is a closed loop.
 async fn run(
     address: SocketAddr,
     callers: u64,
@@ -231,9 +232,9 @@
     let mut all = histogram();
     let mut failed = 0;
     for task in tasks {
-        let (times, lost) = task.await.expect("a caller does not panic");
-        all.add(times).expect("histograms of one shape add up");
-        failed += lost;
+        let (times, task_failed) = task.await.expect("a caller does not panic");
+        all.add(times).expect("the histograms have the same bounds");
+        failed += task_failed;
     }
     (all, failed)
 }
@@ -247,13 +248,13 @@
     end: Instant,
 ) -> (Histogram<u64>, u64) {
     let url = format!("http://{address}/quote");
-    let gap = match rate {
+    let interval = match rate {
         0 => Duration::ZERO,
         _ => Duration::from_secs_f64(callers as f64 / rate as f64),
     };
     let mut times = histogram();
     let mut failed = 0;
-    let mut next = Instant::now() + gap.mul_f64(number as f64 / callers as f64);
+    let mut next = Instant::now() + interval.mul_f64(number as f64 / callers as f64);
     while next < end {
         if rate > 0 {
             tokio::time::sleep_until(next.into()).await;
@@ -268,7 +269,7 @@
             Some(_) => times.saturating_record(start.elapsed().as_micros() as u64),
             None => failed += 1,
         }
-        next = (next + gap).max(Instant::now().min(end));
+        next = (next + interval).max(Instant::now().min(end));
     }
     (times, failed)
 }
--- a/crates/verbenahitch/examples/slot_limits.rs
+++ b/crates/verbenahitch/examples/slot_limits.rs
@@ -1,8 +1,8 @@
-//! How gateways that do not see each other share the slots of the same
-//! upstreams: by the adaptive limit, by a fixed share, or without a limit.
+//! Compares how gateways that do not coordinate share the slots of the same
+//! upstreams: with the adaptive limit, with a fixed share each, and without a limit.
 //!
-//! A model in virtual time: an upstream refuses what finds no free slot, and a
-//! request that was refused at three upstreams has failed. The gateways run
+//! A simulation in virtual time: an upstream refuses a request when it has no free
+//! slot, and a request fails once three upstreams have refused it. The gateways use
 //! the real routing table and limits.
 //!
 //! Usage: `cargo run --release --example slot_limits`
@@ -42,7 +42,7 @@
     latencies: Vec<u64>,
 }
 
-/// A request in service.
+/// A request that an upstream serves.
 struct Served {
     gateway: usize,
     worker: usize,
@@ -50,11 +50,11 @@
     slot: Slot,
 }
 
-struct World {
+struct Simulation {
     policy: Policy,
     random: StdRng,
     tables: Vec<Table>,
-    /// Arrival times of the requests that wait at each gateway.
+    /// Arrival times of the requests queued at each gateway.
     waiting: Vec<VecDeque<u64>>,
     busy: Vec<u32>,
     served: Vec<Option<Served>>,
@@ -67,14 +67,14 @@
         "| load | callers | limit | answered in time | refusals a request | p50 ms | p99 ms |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
-    let spreads = [
+    let distributions = [
         ("even", [1.0; GATEWAYS]),
         ("uneven", [4.0, 3.0, 2.0, 1.0, 1.0, 0.5, 0.5]),
     ];
     for load in [0.7, 0.95, 1.5] {
-        for (name, weights) in &spreads {
+        for (name, weights) in &distributions {
             for policy in [Policy::Adaptive, Policy::FixedShare, Policy::Unlimited] {
-                let run = |seed| World::new(policy, seed).run(load, weights);
+                let run = |seed| Simulation::new(policy, seed).run(load, weights);
                 let runs: Vec<Outcome> = (0..SEEDS).map(run).collect();
                 report(load, name, policy, &runs);
             }
@@ -87,8 +87,8 @@
         let all = runs.iter().map(|run| of(run) as f64 / run.offered as f64);
         let all: Vec<f64> = all.collect();
         let mean = all.iter().sum::<f64>() / all.len() as f64;
-        let spread = all.iter().map(|one| (one - mean).abs()).fold(0.0, f64::max);
-        format!("{mean:.3} ± {spread:.3}")
+        let deviation = all.iter().map(|one| (one - mean).abs()).fold(0.0, f64::max);
+        format!("{mean:.3} ± {deviation:.3}")
     };
     let mut times: Vec<u64> = runs.iter().flat_map(|run| run.latencies.clone()).collect();
     times.sort_unstable();
@@ -138,7 +138,7 @@
     Table::default().next(&place, &hosts, Arc::new(declarations))
 }
 
-impl World {
+impl Simulation {
     fn new(policy: Policy, seed: u64) -> Self {
         Self {
             policy,
@@ -166,7 +166,7 @@
                 self.finish();
             }
             self.outcome.offered += 1;
-            let gateway = self.pick(weights);
+            let gateway = self.pick_gateway(weights);
             if !self.send(gateway, now, now) {
                 self.waiting[gateway].push_back(now);
             }
@@ -178,26 +178,26 @@
         -mean * (1.0 - self.random.random::<f64>()).ln()
     }
 
-    fn pick(&mut self, weights: &[f64]) -> usize {
-        let mut left = self.random.random::<f64>() * weights.iter().sum::<f64>();
-        let reached = |weight: &f64| {
-            left -= weight;
-            left < 0.0
+    fn pick_gateway(&mut self, weights: &[f64]) -> usize {
+        let mut remaining = self.random.random::<f64>() * weights.iter().sum::<f64>();
+        let is_picked = |weight: &f64| {
+            remaining -= weight;
+            remaining < 0.0
         };
-        weights.iter().position(reached).unwrap_or(0)
+        weights.iter().position(is_picked).unwrap_or(0)
     }
 
-    /// Sends a request; false if no slot is free by the gateway's own limits.
+    /// Sends a request; false if the gateway's own limits leave no slot free.
     fn send(&mut self, gateway: usize, arrived: u64, now: u64) -> bool {
         let mut tried = Vec::with_capacity(ATTEMPTS);
         for _ in 0..ATTEMPTS {
-            let dice = self.random.next_u64();
-            let choice = self.tables[gateway].choose(Monotonic(now / 1_000), dice, &tried);
+            let random = self.random.next_u64();
+            let choice = self.tables[gateway].choose(Monotonic(now / 1_000), random, &tried);
             let Some(choice) = choice else {
                 return !tried.is_empty();
             };
             let upstream = Arc::clone(choice.slot.upstream());
-            let worker: usize = upstream.name.parse().expect("names are numbers");
+            let worker: usize = upstream.name.parse().expect("worker names are numbers");
             if self.busy[worker] < SLOTS {
                 self.busy[worker] += 1;
                 let end = now + self.exponential(MEAN_SERVICE_US) as u64;
@@ -219,7 +219,8 @@
         true
     }
 
-    /// Ends the request that is due first, and sends one that waited.
+    /// Completes the request that ends first, then sends the oldest queued request that
+    /// is within its deadline.
     fn finish(&mut self) {
         let Some(Reverse((end, index))) = self.ends.pop() else {
             return;
@@ -228,9 +229,9 @@
             return;
         };
         self.busy[done.worker] -= 1;
-        let took = end - done.arrived;
-        self.outcome.latencies.push(took);
-        self.outcome.in_time += u64::from(took <= DEADLINE_US);
+        let latency = end - done.arrived;
+        self.outcome.latencies.push(latency);
+        self.outcome.in_time += u64::from(latency <= DEADLINE_US);
         let upstream = done.slot.upstream();
         if matches!(self.policy, Policy::Adaptive) {
             upstream.limit.taken(upstream.in_flight());
--- a/crates/verbenahitch/examples/trace.rs
+++ b/crates/verbenahitch/examples/trace.rs
@@ -1,4 +1,4 @@
-//! Writes the trace of a deployment's compressed day to standard output:
+//! Writes the generated trace of a deployment's day, in compressed time, to standard output:
 //! `cargo run --example trace -- bureau 1`.
 
 use std::process::ExitCode;
@@ -6,13 +6,13 @@
 use verbenahitch::replay::{Deployment, generate};
 
 fn main() -> ExitCode {
-    let mut words = std::env::args().skip(1);
-    let deployment = match words.next().as_deref() {
+    let mut arguments = std::env::args().skip(1);
+    let deployment = match arguments.next().as_deref() {
         Some("bureau") => Deployment::Bureau,
         Some("kilele") => Deployment::Kilele,
         _ => return usage(),
     };
-    let Some(seed) = words.next().and_then(|seed| seed.parse().ok()) else {
+    let Some(seed) = arguments.next().and_then(|seed| seed.parse().ok()) else {
         return usage();
     };
     print!("{}", generate(deployment, seed).to_text());
--- a/crates/verbenahitch/src/client/mod.rs
+++ b/crates/verbenahitch/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! Client of the operators' and submitters' interface of a gateway.
+//! Client of the gateway's interface for operators and submitters.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -14,10 +14,10 @@
 use crate::domain::{JobSpec, Millis};
 use crate::settings::{TokenError, read_token};
 
-/// Environment variable that holds the bearer token if no file is named.
+/// Environment variable that holds the bearer token if no token file is given.
 pub const TOKEN_VARIABLE: &str = "VERBENAHITCH_TOKEN";
 
-/// Time limit of a call, in milliseconds; a change waits for its confirmations.
+/// Timeout of a call; leaves time for a change to wait for its confirmations.
 const TIMEOUT_MS: Millis = 20_000;
 
 /// Client with one bearer token.
@@ -28,7 +28,7 @@
     http: Http,
 }
 
-/// Why a call brought no result.
+/// Why a call failed.
 #[derive(Debug, Snafu)]
 pub enum ClientError {
     /// The token file cannot be used.
@@ -38,18 +38,18 @@
         source: TokenError,
     },
     /// No token was given.
-    #[snafu(display("no token: name a file by --token-file or set {TOKEN_VARIABLE}"))]
+    #[snafu(display("no token: pass --token-file or set {TOKEN_VARIABLE}"))]
     NoToken,
-    /// The gateway was not reached; nothing happened.
-    #[snafu(display("gateway {gateway} was not reached, nothing happened: {reason}"))]
+    /// The gateway was not reached; the call had no effect.
+    #[snafu(display("gateway {gateway} was not reached; the call had no effect: {reason}"))]
     NotSent {
         /// Address.
         gateway: SocketAddr,
         /// Cause.
         reason: String,
     },
-    /// The gateway gave no answer; the call may have taken effect.
-    #[snafu(display("gateway {gateway} gave no answer, the call may have taken effect: {reason}"))]
+    /// The gateway did not answer; the call may have taken effect.
+    #[snafu(display("gateway {gateway} did not answer; the call may have taken effect: {reason}"))]
     Unanswered {
         /// Address.
         gateway: SocketAddr,
@@ -57,18 +57,18 @@
         reason: String,
     },
     /// The gateway refused the call.
-    #[snafu(display("refused with status {status}: {reason}"))]
+    #[snafu(display("the gateway refused the call with status {status}: {reason}"))]
     Refused {
         /// HTTP status.
         status: u16,
-        /// Reason given.
+        /// Reason from the answer.
         reason: String,
-        /// Whole answer.
+        /// Body of the answer as JSON; null if it is not JSON.
         body: Value,
     },
 }
 
-/// State that an operator gives an availability zone.
+/// State that an operator requests for an availability zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "state")]
 pub enum ZoneOrder {
@@ -115,7 +115,7 @@
     ///
     /// # Errors
     ///
-    /// See [`ClientError`]; a newer revision refuses it with status 409.
+    /// See [`ClientError`]; refused with status 409 if a newer revision is in force.
     pub async fn apply(&self, document: &Declarations, from: u64) -> Result<Value, ClientError> {
         let path = format!("declarations?from={from}");
         self.call(self.request(Method::PUT, &path).json(document))
@@ -133,7 +133,7 @@
             .await
     }
 
-    /// How the system stands.
+    /// State of the processes, shards and workers.
     ///
     /// # Errors
     ///
@@ -142,7 +142,7 @@
         self.call(self.request(Method::GET, "status")).await
     }
 
-    /// How a shard stands, as `zone-index`.
+    /// State of a shard, named as `zone-index`.
     ///
     /// # Errors
     ///
@@ -152,7 +152,7 @@
         self.call(self.request(Method::GET, &path)).await
     }
 
-    /// Why a task is where it is.
+    /// Why a task runs on its worker, or why it waits.
     ///
     /// # Errors
     ///
@@ -162,7 +162,7 @@
         self.call(self.request(Method::GET, &path)).await
     }
 
-    /// Submits a job under the team's own `key`; repeating it is safe.
+    /// Submits a job under `key`, which the team chooses; repeating the call is safe.
     ///
     /// # Errors
     ///
@@ -173,7 +173,7 @@
             .await
     }
 
-    /// How a job stands.
+    /// State of a job.
     ///
     /// # Errors
     ///
--- a/crates/verbenahitch/src/cmd/apply.rs
+++ b/crates/verbenahitch/src/cmd/apply.rs
@@ -1,4 +1,4 @@
-//! `verbenahitch apply`: puts a file of declarations in force.
+//! `verbenahitch apply`: applies a declarations file.
 
 use std::path::PathBuf;
 
@@ -6,23 +6,23 @@
 
 use super::Exit;
 use super::remote::{Remote, read_declarations, remote};
-use super::zone::in_force;
+use super::zone::change_summary;
 
 /// Arguments.
 #[derive(Clone, Debug, Bpaf)]
 pub struct Args {
     #[bpaf(external)]
     remote: Remote,
-    /// Revision that the file was made from; else the one that the file names
+    /// Revision that the file was made from (default: the revision in the file)
     #[bpaf(long, argument("REVISION"))]
     from: Option<u64>,
-    /// File of declarations
+    /// Declarations file
     #[bpaf(positional("FILE"))]
     file: PathBuf,
 }
 
 impl Args {
-    /// Carries the subcommand out.
+    /// Runs the subcommand.
     pub fn execute(self) -> Exit {
         let declarations = match read_declarations(&self.file) {
             Ok(declarations) => declarations,
@@ -31,7 +31,7 @@
         let from = self.from.unwrap_or(declarations.revision);
         self.remote.call(
             |client| async move { client.apply(&declarations, from).await },
-            in_force,
+            change_summary,
         )
     }
 }
--- a/crates/verbenahitch/src/cmd/cancel.rs
+++ b/crates/verbenahitch/src/cmd/cancel.rs
@@ -3,7 +3,7 @@
 use bpaf::Bpaf;
 
 use super::Exit;
-use super::job::standing;
+use super::job::job_summary;
 use super::remote::{Remote, remote};
 
 /// Arguments.
@@ -11,16 +11,18 @@
 pub struct Args {
     #[bpaf(external)]
     remote: Remote,
-    /// Identity of the job, as team.key
+    /// Job ID, as team.key
     #[bpaf(positional("JOB"))]
     job: String,
 }
 
 impl Args {
-    /// Carries the subcommand out.
+    /// Runs the subcommand.
     pub fn execute(self) -> Exit {
         let job = self.job;
-        self.remote
-            .call(|client| async move { client.cancel(&job).await }, standing)
+        self.remote.call(
+            |client| async move { client.cancel(&job).await },
+            job_summary,
+        )
     }
 }
--- a/crates/verbenahitch/src/cmd/check.rs
+++ b/crates/verbenahitch/src/cmd/check.rs
@@ -1,4 +1,4 @@
-//! `verbenahitch check`: every fault of a file, with its place.
+//! `verbenahitch check`: reports every fault in settings or declarations files with its place.
 
 use std::path::{Path, PathBuf};
 
@@ -19,7 +19,7 @@
 }
 
 impl Args {
-    /// Carries the subcommand out.
+    /// Runs the subcommand.
     pub fn execute(self) -> Exit {
         let mut exit = Exit::Success;
         for file in &self.files {
--- a/crates/verbenahitch/src/cmd/daemon.rs
+++ b/crates/verbenahitch/src/cmd/daemon.rs
@@ -15,7 +15,7 @@
 /// Arguments.
 #[derive(Clone, Debug, Bpaf)]
 pub struct Args {
-    /// File of settings
+    /// Settings file
     #[bpaf(positional("FILE"))]
     file: PathBuf,
 }
@@ -39,7 +39,7 @@
 }
 
 impl Args {
-    /// Runs the daemon until it is told to stop.
+    /// Runs the daemon until SIGTERM or SIGINT.
     pub fn execute(self, role: Role) -> Exit {
         let settings = match settings::load(&self.file) {
             Ok(settings) => settings,
@@ -58,7 +58,7 @@
             Ok(()) => Exit::Success,
             Err(error) => {
                 eprintln!("error: {error}");
-                Exit::Refused
+                Exit::Failed
             }
         }
     }
@@ -69,16 +69,16 @@
         Role::Gateway => settings.gateway.threads,
         Role::Scheduler => settings.scheduler.threads,
     };
-    // More threads than work wake each other in vain.
+    // Threads beyond what the load needs only cost wake-ups.
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(threads)
         .enable_all()
         .build()
-        .map_err(in_words)?;
+        .map_err(error_text)?;
     runtime.block_on(async move {
         let (stop, stopping) = watch::channel(false);
-        let mut terminate = signal(SignalKind::terminate()).map_err(in_words)?;
-        let mut interrupt = signal(SignalKind::interrupt()).map_err(in_words)?;
+        let mut terminate = signal(SignalKind::terminate()).map_err(error_text)?;
+        let mut interrupt = signal(SignalKind::interrupt()).map_err(error_text)?;
         tokio::spawn(async move {
             tokio::select! {
                 _ = terminate.recv() => {}
@@ -87,12 +87,12 @@
             stop.send_replace(true);
         });
         match role {
-            Role::Gateway => gateway::run(settings, stopping).await.map_err(in_words),
-            Role::Scheduler => scheduler::run(settings, stopping).await.map_err(in_words),
+            Role::Gateway => gateway::run(settings, stopping).await.map_err(error_text),
+            Role::Scheduler => scheduler::run(settings, stopping).await.map_err(error_text),
         }
     })
 }
 
-fn in_words(error: impl Display) -> String {
+fn error_text(error: impl Display) -> String {
     error.to_string()
 }
--- a/crates/verbenahitch/src/cmd/diff.rs
+++ b/crates/verbenahitch/src/cmd/diff.rs
@@ -1,4 +1,4 @@
-//! `verbenahitch diff`: how a file differs from the declarations in force.
+//! `verbenahitch diff`: shows how a file differs from the declarations in force.
 
 use std::path::PathBuf;
 
@@ -13,13 +13,13 @@
 pub struct Args {
     #[bpaf(external)]
     remote: Remote,
-    /// File of declarations
+    /// Declarations file
     #[bpaf(positional("FILE"))]
     file: PathBuf,
 }
 
 impl Args {
-    /// Carries the subcommand out.
+    /// Runs the subcommand.
     pub fn execute(self) -> Exit {
         let after = match read_declarations(&self.file) {
             Ok(declarations) => declarations,
--- a/crates/verbenahitch/src/cmd/digest.rs
+++ b/crates/verbenahitch/src/cmd/digest.rs
@@ -1,4 +1,4 @@
-//! `verbenahitch digest`: digest of a team's token for the declarations.
+//! `verbenahitch digest`: prints the digest of a team's token for the declarations.
 
 use std::path::PathBuf;
 
@@ -16,7 +16,7 @@
 }
 
 impl Args {
-    /// Carries the subcommand out.
+    /// Runs the subcommand.
     pub fn execute(self) -> Exit {
         match std::fs::read_to_string(&self.file) {
             Ok(token) => {
--- a/crates/verbenahitch/src/cmd/explain.rs
+++ b/crates/verbenahitch/src/cmd/explain.rs
@@ -1,4 +1,4 @@
-//! `verbenahitch explain`: why a task is where it is.
+//! `verbenahitch explain`: why a task runs on its worker, or why it waits.
 
 use bpaf::Bpaf;
 
@@ -10,7 +10,7 @@
 pub struct Args {
     #[bpaf(external)]
     remote: Remote,
-    /// Identity of the job, as team.key
+    /// Job ID, as team.key
     #[bpaf(positional("JOB"))]
     job: String,
     /// Index of the task in its job
@@ -19,7 +19,7 @@
 }
 
 impl Args {
-    /// Carries the subcommand out.
+    /// Runs the subcommand.
     pub fn execute(self) -> Exit {
         let (job, index) = (self.job, self.index);
         self.remote.call(
--- a/crates/verbenahitch/src/cmd/job.rs
+++ b/crates/verbenahitch/src/cmd/job.rs
@@ -1,4 +1,4 @@
-//! `verbenahitch job`: how a job stands.
+//! `verbenahitch job`: shows the state of a job.
 
 use bpaf::Bpaf;
 use serde_json::Value;
@@ -11,22 +11,22 @@
 pub struct Args {
     #[bpaf(external)]
     remote: Remote,
-    /// Identity of the job, as team.key
+    /// Job ID, as team.key
     #[bpaf(positional("JOB"))]
     job: String,
 }
 
 impl Args {
-    /// Carries the subcommand out.
+    /// Runs the subcommand.
     pub fn execute(self) -> Exit {
         let job = self.job;
         self.remote
-            .call(|client| async move { client.job(&job).await }, standing)
+            .call(|client| async move { client.job(&job).await }, job_summary)
     }
 }
 
-/// How a job stands, in words.
-pub fn standing(answer: &Value) -> String {
+/// State of a job as one line of text.
+pub fn job_summary(answer: &Value) -> String {
     format!(
         "job {} on shard {}: {} tasks, {} running, {} done, {} failed, {} cancelled, {} unknown, {} evictions",
         text(answer, "id"),
--- a/crates/verbenahitch/src/cmd/mod.rs
+++ b/crates/verbenahitch/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! Subcommands, one a file: its arguments and how it is carried out.
+//! Subcommands, one per file: arguments and execution.
 
 mod apply;
 mod cancel;
@@ -23,11 +23,11 @@
 /// Exit status of a subcommand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// It did what was asked.
+    /// The subcommand succeeded.
     Success,
-    /// The system said no.
-    Refused,
-    /// The arguments or a file have a fault.
+    /// The system refused the call, or the subcommand failed.
+    Failed,
+    /// The arguments or a file are invalid.
     Usage,
 }
 
@@ -35,7 +35,7 @@
     fn from(exit: Exit) -> Self {
         match exit {
             Exit::Success => Self::SUCCESS,
-            Exit::Refused => Self::from(1),
+            Exit::Failed => Self::from(1),
             Exit::Usage => Self::from(2),
         }
     }
@@ -51,7 +51,7 @@
     /// Apply declarations on top of the revision they were made from
     #[bpaf(command)]
     Apply(#[bpaf(external(apply::args))] apply::Args),
-    /// Show how a file of declarations differs from those in force
+    /// Show how a declarations file differs from the declarations in force
     #[bpaf(command)]
     Diff(#[bpaf(external(diff::args))] diff::Args),
     /// Take an availability zone out of service or bring it back
@@ -60,16 +60,16 @@
     /// Show processes, shards and workers
     #[bpaf(command)]
     Status(#[bpaf(external(status::args))] status::Args),
-    /// Show the workers of a shard, and whose work presses on whose
+    /// Show the workers of a shard and the interference between profiles
     #[bpaf(command)]
     Shard(#[bpaf(external(shard::args))] shard::Args),
-    /// Tell why a task is where it is
+    /// Explain why a task runs on its worker, or why it waits
     #[bpaf(command)]
     Explain(#[bpaf(external(explain::args))] explain::Args),
     /// Submit a job; repeating it under the same key is safe
     #[bpaf(command)]
     Submit(#[bpaf(external(submit::args))] submit::Args),
-    /// Show how a job stands
+    /// Show the state of a job
     #[bpaf(command)]
     Job(#[bpaf(external(job::args))] job::Args),
     /// Cancel a job
@@ -78,10 +78,10 @@
     /// Print the digest of a team's token, for the declarations
     #[bpaf(command)]
     Digest(#[bpaf(external(digest::args))] digest::Args),
-    /// Replay a recorded trace through the decisions and baselines
+    /// Replay a recorded trace with the scheduling decisions and with baseline policies
     #[bpaf(command)]
     Replay(#[bpaf(external(replay::args))] replay::Args),
-    /// Show the way of a job or task through the logs of several processes
+    /// Follow a job or task through the logs of several processes
     #[bpaf(command)]
     Trace(#[bpaf(external(trace::args))] trace::Args),
     /// Run the gateway daemon
@@ -93,7 +93,7 @@
 }
 
 impl Command {
-    /// Carries the subcommand out.
+    /// Runs the subcommand.
     pub fn execute(self) -> Exit {
         match self {
             Self::Check(args) => args.execute(),
--- a/crates/verbenahitch/src/cmd/remote.rs
+++ b/crates/verbenahitch/src/cmd/remote.rs
@@ -1,4 +1,4 @@
-//! What all subcommands share that call a gateway.
+//! Arguments, calls and output that all subcommands which call a gateway share.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -12,13 +12,13 @@
 
 use super::Exit;
 
-/// Gateway to call, and how to print its answer.
+/// Gateway to call, and output format of its answer.
 #[derive(Clone, Debug, Bpaf)]
 pub struct Remote {
-    /// Operators' address of any gateway
+    /// Address of the operators' interface of any gateway
     #[bpaf(long, argument("IP:PORT"))]
     gateway: SocketAddr,
-    /// File that holds the bearer token; else the variable VERBENAHITCH_TOKEN
+    /// File that holds the bearer token (default: the environment variable VERBENAHITCH_TOKEN)
     #[bpaf(long, argument("FILE"))]
     token_file: Option<PathBuf>,
     /// Print the whole answer as JSON
@@ -27,13 +27,13 @@
 }
 
 impl Remote {
-    /// Calls the gateway and prints its answer, in words by `summary` unless JSON was asked for.
+    /// Calls the gateway and prints its answer, as JSON or as the text that `summary` returns.
     pub fn call<F: Future<Output = Result<Value, ClientError>>>(
         &self,
-        body: impl FnOnce(Client) -> F,
+        request: impl FnOnce(Client) -> F,
         summary: impl FnOnce(&Value) -> String,
     ) -> Exit {
-        match self.fetch(body) {
+        match self.fetch(request) {
             Ok(answer) => {
                 self.print(&answer, summary);
                 Exit::Success
@@ -42,10 +42,10 @@
         }
     }
 
-    /// Calls the gateway; faults are printed already.
+    /// Calls the gateway; prints an error before it returns the exit status.
     pub fn fetch<T, F: Future<Output = Result<T, ClientError>>>(
         &self,
-        body: impl FnOnce(Client) -> F,
+        request: impl FnOnce(Client) -> F,
     ) -> Result<T, Exit> {
         let client = Client::new(self.gateway, self.token_file.as_deref());
         let client = client.map_err(|error| {
@@ -56,16 +56,15 @@
             .enable_all()
             .build()
             .map_err(|error| {
-                eprintln!("error: no runtime: {error}");
-                Exit::Refused
+                eprintln!("error: cannot start the async runtime: {error}");
+                Exit::Failed
             })?;
-        runtime.block_on(body(client)).map_err(|error| {
+        runtime.block_on(request(client)).map_err(|error| {
             self.report(&error);
-            Exit::Refused
+            Exit::Failed
         })
     }
 
-    /// Prints an answer.
     pub fn print(&self, answer: &Value, summary: impl FnOnce(&Value) -> String) {
         if self.json {
             println!("{answer:#}");
@@ -82,7 +81,7 @@
     }
 }
 
-/// Reads a file of declarations; faults are printed already.
+/// Reads a declarations file; prints an error before it returns the exit status.
 pub fn read_declarations(file: &std::path::Path) -> Result<Declarations, Exit> {
     settings::load_declarations(file).map_err(|error| {
         eprintln!("{error}");
@@ -90,7 +89,7 @@
     })
 }
 
-/// Text of a field, or of its JSON form.
+/// Field as text: a string as it is, any other value as JSON, `-` if the field is missing.
 pub fn text(value: &Value, key: &str) -> String {
     match value.get(key) {
         Some(Value::String(text)) => text.clone(),
@@ -99,7 +98,7 @@
     }
 }
 
-/// Elements of a list field.
+/// Elements of a list field; empty if it is missing or no list.
 pub fn list<'a>(value: &'a Value, key: &str) -> &'a [Value] {
     value
         .get(key)
--- a/crates/verbenahitch/src/cmd/replay.rs
+++ b/crates/verbenahitch/src/cmd/replay.rs
@@ -1,4 +1,5 @@
-//! `verbenahitch replay`: a recorded trace through the decisions and baselines.
+//! `verbenahitch replay`: replays a recorded trace with the scheduling decisions and baseline
+//! policies.
 
 use std::path::PathBuf;
 
@@ -10,22 +11,22 @@
 /// Arguments.
 #[derive(Clone, Debug, Bpaf)]
 pub struct Args {
-    /// Seed of one run of each policy; may be given several times
+    /// Seed of one run of each policy; may be repeated
     #[bpaf(long, argument("N"), many)]
     seed: Vec<u64>,
-    /// Also measure decisions a second, which differ from run to run
+    /// Also measure decisions per second, which vary from run to run
     #[bpaf(long)]
     timing: bool,
     /// Print the report as JSON
     #[bpaf(long)]
     json: bool,
-    /// Recorded trace, one JSON object a line
+    /// Recorded trace, one JSON object per line
     #[bpaf(positional("TRACE"))]
     trace: PathBuf,
 }
 
 impl Args {
-    /// Carries the subcommand out.
+    /// Runs the subcommand.
     pub fn execute(self) -> Exit {
         let mut options = Options {
             timing: self.timing,
--- a/crates/verbenahitch/src/cmd/shard.rs
+++ b/crates/verbenahitch/src/cmd/shard.rs
@@ -1,4 +1,4 @@
-//! `verbenahitch shard`: workers of a shard, and whose work presses on whose.
+//! `verbenahitch shard`: shows the workers of a shard and the interference between profiles.
 
 use bpaf::Bpaf;
 use serde_json::Value;
@@ -17,7 +17,7 @@
 }
 
 impl Args {
-    /// Carries the subcommand out.
+    /// Runs the subcommand.
     pub fn execute(self) -> Exit {
         let shard = self.shard;
         self.remote
@@ -46,7 +46,7 @@
     }
     for pressure in list(answer, "pressures") {
         lines.push(format!(
-            "{} takes {}% of its time alone beside {}",
+            "{} takes {}% of its baseline latency next to {}",
             text(pressure, "victim"),
             text(pressure, "slowdown-percent"),
             text(pressure, "source"),
--- a/crates/verbenahitch/src/cmd/status.rs
+++ b/crates/verbenahitch/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! `verbenahitch status`: processes, shards and workers.
+//! `verbenahitch status`: shows processes, shards and workers.
 
 use bpaf::Bpaf;
 use serde_json::Value;
@@ -14,7 +14,7 @@
 }
 
 impl Args {
-    /// Carries the subcommand out.
+    /// Runs the subcommand.
     pub fn execute(self) -> Exit {
         self.remote
             .call(|client| async move { client.status().await }, summary)
@@ -25,7 +25,7 @@
     let mut lines = vec![format!("revision {}", text(answer, "revision"))];
     for member in list(answer, "members") {
         lines.push(format!(
-            "process {} zone {} revision {} heard {} ms ago",
+            "process {} zone {} revision {} last heartbeat {} ms ago",
             text(member, "name"),
             text(member, "zone"),
             text(member, "revision"),
--- a/crates/verbenahitch/src/cmd/submit.rs
+++ b/crates/verbenahitch/src/cmd/submit.rs
@@ -4,7 +4,7 @@
 use verbenahitch::domain::JobSpec;
 
 use super::Exit;
-use super::job::standing;
+use super::job::job_summary;
 use super::remote::{Remote, remote};
 
 /// Arguments.
@@ -12,7 +12,7 @@
 pub struct Args {
     #[bpaf(external)]
     remote: Remote,
-    /// The team's own key for this submission; a repeat under it changes nothing
+    /// Key of the submission, chosen by the team; repeating it changes nothing
     #[bpaf(long, argument("KEY"))]
     key: String,
     /// Profile that every task runs under
@@ -24,13 +24,13 @@
     /// Declared run time of one task in milliseconds; zero runs until cancelled
     #[bpaf(long, argument("MS"))]
     run_ms: u64,
-    /// Input handed to every task
+    /// Payload passed to every task
     #[bpaf(long, argument("TEXT"), fallback(String::new()))]
     payload: String,
 }
 
 impl Args {
-    /// Carries the subcommand out.
+    /// Runs the subcommand.
     pub fn execute(self) -> Exit {
         let spec = JobSpec {
             profile: self.profile,
@@ -41,7 +41,7 @@
         let key = self.key;
         self.remote.call(
             |client| async move { client.submit(&key, &spec).await },
-            standing,
+            job_summary,
         )
     }
 }
--- a/crates/verbenahitch/src/cmd/trace.rs
+++ b/crates/verbenahitch/src/cmd/trace.rs
@@ -1,4 +1,4 @@
-//! `verbenahitch trace`: the way of one job or task through several logs.
+//! `verbenahitch trace`: follows one job or task through the logs of several processes.
 
 use std::io::Read;
 use std::path::PathBuf;
@@ -11,16 +11,16 @@
 /// Arguments.
 #[derive(Clone, Debug, Bpaf)]
 pub struct Args {
-    /// Identifier of a job, or name of a task
+    /// ID of a job, or name of a task
     #[bpaf(positional("ID"))]
     id: String,
-    /// Logs of processes; standard input without any
+    /// Log files of processes (default: standard input)
     #[bpaf(positional("LOG"), many)]
     logs: Vec<PathBuf>,
 }
 
 impl Args {
-    /// Carries the subcommand out.
+    /// Runs the subcommand.
     pub fn execute(self) -> Exit {
         let text = match self.read() {
             Ok(text) => text,
@@ -33,12 +33,12 @@
         for line in &trace.lines {
             println!("{line}");
         }
-        if trace.foreign > 0 {
-            eprintln!("{} lines are not lines of a log", trace.foreign);
+        if trace.unparsed > 0 {
+            eprintln!("skipped {} lines that are not log entries", trace.unparsed);
         }
         if trace.lines.is_empty() {
-            eprintln!("error: no line names {}", self.id);
-            return Exit::Refused;
+            eprintln!("error: no log line mentions {}", self.id);
+            return Exit::Failed;
         }
         Exit::Success
     }
--- a/crates/verbenahitch/src/cmd/zone.rs
+++ b/crates/verbenahitch/src/cmd/zone.rs
@@ -1,4 +1,4 @@
-//! `verbenahitch zone`: takes an availability zone out or brings it back.
+//! `verbenahitch zone`: takes an availability zone out of service or brings it back.
 
 use bpaf::Bpaf;
 use serde_json::Value;
@@ -16,7 +16,7 @@
     order: Order,
 }
 
-/// What to do with which zone.
+/// Zone, and whether it is taken out of service or brought back.
 #[derive(Clone, Debug, Bpaf)]
 pub enum Order {
     /// Take a zone out of service
@@ -36,7 +36,7 @@
 }
 
 impl Args {
-    /// Carries the subcommand out.
+    /// Runs the subcommand.
     pub fn execute(self) -> Exit {
         let (zone, order) = match self.order {
             Order::Out { zone } => (zone, ZoneOrder::Out),
@@ -44,25 +44,25 @@
         };
         self.remote.call(
             |client| async move { client.order_zone(&zone, order).await },
-            in_force,
+            change_summary,
         )
     }
 }
 
-/// Where a change is in force, in words.
-pub fn in_force(answer: &Value) -> String {
+/// Processes that have a change in force, and those that have not confirmed it, as text.
+pub fn change_summary(answer: &Value) -> String {
     let confirmed = list(answer, "in-force");
     let mut lines = vec![format!(
         "revision {} is in force in {} processes",
         text(answer, "revision"),
         confirmed.len()
     )];
-    for open in list(answer, "not-confirmed") {
+    for process in list(answer, "not-confirmed") {
         lines.push(format!(
-            "not confirmed by {} in zone {}: starts no task after {} ms unless it hears of the change",
-            text(open, "process"),
-            text(open, "zone"),
-            text(open, "starts-stop-in-ms"),
+            "not confirmed by {} in zone {}: starts no task after {} ms unless it receives the change",
+            text(process, "process"),
+            text(process, "zone"),
+            text(process, "starts-stop-in-ms"),
         ));
     }
     lines.join("\n")
--- a/crates/verbenahitch/src/collections/mod.rs
+++ b/crates/verbenahitch/src/collections/mod.rs
@@ -1,7 +1,7 @@
 //! Collections with a fast, non-cryptographic hasher.
 //!
-//! Keys that a caller chooses freely are bounded in number by the settings, so
-//! that flooding one bucket cannot cost more than the bound.
+//! The settings bound the number of keys that callers choose freely, which also
+//! bounds the cost of deliberate hash collisions.
 
 /// Hash map with the fast hasher.
 pub type HashMap<K, V> = rustc_hash::FxHashMap<K, V>;
--- a/crates/verbenahitch/src/event/entry.rs
+++ b/crates/verbenahitch/src/event/entry.rs
@@ -5,7 +5,7 @@
 
 use super::Kind;
 
-/// An event with its fields, built up and then written or returned.
+/// An event with its fields, written to the log or returned to the caller.
 #[derive(Clone, Debug, PartialEq)]
 #[must_use = "an entry is lost unless it is emitted or returned"]
 pub struct Entry {
@@ -29,7 +29,7 @@
         self
     }
 
-    /// Adds a field in its display form.
+    /// Adds a field with the text that `Display` gives.
     pub fn with_text(self, name: &str, value: impl ToString) -> Self {
         self.with(name, value.to_string())
     }
@@ -44,7 +44,7 @@
         self.fields.get(name)
     }
 
-    /// Entry as one line of JSON, without time.
+    /// Entry as one line of JSON, without the time.
     pub fn to_json(&self) -> String {
         let mut line = Map::new();
         line.insert("event".to_owned(), self.kind.number().into());
--- a/crates/verbenahitch/src/event/kind.rs
+++ b/crates/verbenahitch/src/event/kind.rs
@@ -4,7 +4,7 @@
 
 macro_rules! catalogue {
     ($($variant:ident = $number:literal, $name:literal, $level:ident, $summary:literal;)*) => {
-        /// Kind of an event; its number never changes its meaning.
+        /// Kind of an event; the meaning of a number never changes.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         #[repr(u16)]
         pub enum Kind {
@@ -30,7 +30,7 @@
                 match self { $(Self::$variant => Level::$level,)* }
             }
 
-            /// What the event says.
+            /// Meaning of the event, as in the catalogue.
             pub const fn summary(self) -> &'static str {
                 match self { $(Self::$variant => $summary,)* }
             }
--- a/crates/verbenahitch/src/event/logger.rs
+++ b/crates/verbenahitch/src/event/logger.rs
@@ -1,4 +1,4 @@
-//! Structured log lines by `fern`: one JSON object a line.
+//! Structured logging with `fern`: one JSON object per line.
 
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -8,20 +8,20 @@
 
 use super::queue::{self, LogGuard};
 
-/// Least level that is written.
+/// Lowest level that is written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Level {
     /// Nothing.
     Off,
-    /// Faults.
+    /// Errors.
     Error,
-    /// And what needs an operator's eye.
+    /// Also conditions that an operator should check.
     Warn,
-    /// And every decision.
+    /// Also every decision.
     #[default]
     Info,
-    /// And details for developers.
+    /// Also details for developers.
     Debug,
 }
 
@@ -41,7 +41,7 @@
 #[derive(Debug, Snafu)]
 pub enum LogError {
     /// The file cannot be opened.
-    #[snafu(display("log file {} cannot be opened: {source}", path.display()))]
+    #[snafu(display("cannot open log file {}: {source}", path.display()))]
     Open {
         /// File.
         path: PathBuf,
@@ -49,14 +49,14 @@
         source: std::io::Error,
     },
     /// The thread that writes the log cannot be started.
-    #[snafu(display("the log cannot be written: {source}"))]
+    #[snafu(display("cannot start the log thread: {source}"))]
     Thread {
         /// Cause.
         source: std::io::Error,
     },
-    /// A log was set up before.
-    #[snafu(display("a log is set up already"))]
-    Twice {
+    /// The process has a logger already.
+    #[snafu(display("a logger is already installed"))]
+    AlreadyInstalled {
         /// Cause.
         source: log::SetLoggerError,
     },
@@ -66,23 +66,23 @@
 ///
 /// # Errors
 ///
-/// When the file cannot be opened, or a log is set up already.
+/// When the file cannot be opened, or a logger is already installed.
 pub fn start_logging(process: &str, level: Level, file: Option<&Path>) -> Result<(), LogError> {
-    let dispatch = dispatch(process, level);
+    let dispatch = json_dispatch(process, level);
     let dispatch = match file {
         Some(path) => dispatch.chain(fern::log_file(path).context(OpenSnafu { path })?),
         None => dispatch.chain(std::io::stderr()),
     };
-    dispatch.apply().context(TwiceSnafu)
+    dispatch.apply().context(AlreadyInstalledSnafu)
 }
 
 /// Writes log lines at `level` and above, of this crate and of `module`, to standard
-/// output without ever waiting for its reader; dropping the guard writes what is
-/// queued.
+/// output without blocking on a slow reader; dropping the guard writes the queued
+/// lines.
 ///
 /// # Errors
 ///
-/// When the writing thread cannot be started, or a log is set up already.
+/// When the log thread cannot be started, or a logger is already installed.
 pub fn start_queued_logging(
     process: &str,
     level: Level,
@@ -90,19 +90,19 @@
 ) -> Result<LogGuard, LogError> {
     let (writer, guard) = queue::start(std::io::stdout()).context(ThreadSnafu)?;
     let writer: Box<dyn std::io::Write + Send> = Box::new(writer);
-    let dispatch = dispatch(process, level)
+    let dispatch = json_dispatch(process, level)
         .level_for(module, level.into())
         .chain(fern::Output::writer(writer, "\n"));
-    dispatch.apply().context(TwiceSnafu)?;
+    dispatch.apply().context(AlreadyInstalledSnafu)?;
     Ok(guard)
 }
 
-/// One JSON object a line.
-fn dispatch(process: &str, level: Level) -> fern::Dispatch {
+/// Formats each record as one JSON object per line.
+fn json_dispatch(process: &str, level: Level) -> fern::Dispatch {
     let process = serde_json::Value::from(process).to_string();
     fern::Dispatch::new()
         .level(log::LevelFilter::Warn)
-        // Rocket warns of each answer that a handler made itself.
+        // Rocket logs a warning for each answer that a handler builds itself.
         .level_for("rocket", log::LevelFilter::Error)
         .level_for("event", level.into())
         .level_for("verbenahitch", level.into())
--- a/crates/verbenahitch/src/event/mod.rs
+++ b/crates/verbenahitch/src/event/mod.rs
@@ -1,7 +1,7 @@
 //! Numbered log events.
 //!
-//! Every decision that an operator may ask about is one [`Entry`]: a [`Kind`]
-//! from the closed catalogue and its fields. docs/EVENTS.md lists the catalogue.
+//! Every decision that an operator may ask about is logged as one [`Entry`]: a
+//! [`Kind`] from the closed catalogue, and its fields. docs/EVENTS.md lists the catalogue.
 
 mod entry;
 mod kind;
@@ -13,4 +13,4 @@
 pub use kind::Kind;
 pub use logger::{Level, LogError, start_logging, start_queued_logging};
 pub use queue::LogGuard;
-pub use trace::{Trace, trace};
+pub use trace::{LogTrace, trace};
--- a/crates/verbenahitch/src/event/queue.rs
+++ b/crates/verbenahitch/src/event/queue.rs
@@ -1,8 +1,8 @@
-//! Log lines on their way to standard output.
+//! Non-blocking log output.
 //!
-//! A process must not wait for whoever reads its log. Lines go through a queue of
-//! bounded length to a thread of their own, which writes many at once; what does
-//! not fit is dropped and counted, and the count is written when there is room.
+//! A slow reader of the log must not block the process. Lines go through a bounded
+//! queue to a dedicated thread, which writes them in batches. Lines that find the
+//! queue full are dropped, and their count is written with the next batch.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -11,28 +11,28 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Lines that wait at most: several seconds of a busy process.
+/// Capacity of the queue in lines: several seconds of output of a busy process.
 const QUEUE_LINES: usize = 4_096;
 
-/// Time in which lines gather before they are written.
-const GATHER: Duration = Duration::from_millis(40);
+/// Delay before a batch is written, in which further lines join it.
+const BATCH_DELAY: Duration = Duration::from_millis(40);
 
-/// Bytes of one line from which the rest is cut off.
-const LINE_MAX: usize = 16 << 10;
+/// Length in bytes that longer lines are truncated to.
+const MAX_LINE_BYTES: usize = 16 << 10;
 
 enum Message {
     Line(Vec<u8>),
     End,
 }
 
-/// Writer that never waits.
+/// Writer that puts whole lines into the queue and never blocks.
 pub(super) struct QueueWriter {
     sender: SyncSender<Message>,
     dropped: Arc<AtomicU64>,
     line: Vec<u8>,
 }
 
-/// Writes what is queued when it is dropped.
+/// Writes the queued lines when it is dropped.
 #[derive(Debug)]
 pub struct LogGuard {
     sender: SyncSender<Message>,
@@ -41,7 +41,7 @@
 
 impl Drop for LogGuard {
     fn drop(&mut self) {
-        // A thread that has ended already has nothing left to write.
+        // Sending fails only if the thread has ended already, with nothing left to write.
         let _ = self.sender.send(Message::End);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -49,14 +49,14 @@
     }
 }
 
-/// Starts a thread that writes to `out`.
+/// Starts the thread that writes to `out`.
 pub(super) fn start(mut out: impl Write + Send + 'static) -> io::Result<(QueueWriter, LogGuard)> {
     let (sender, receiver) = sync_channel(QUEUE_LINES);
     let dropped = Arc::new(AtomicU64::new(0));
     let counter = Arc::clone(&dropped);
     let thread = std::thread::Builder::new()
         .name("log".to_owned())
-        .spawn(move || write_all(&receiver, &counter, &mut out))?;
+        .spawn(move || write_batches(&receiver, &counter, &mut out))?;
     let writer = QueueWriter {
         sender: sender.clone(),
         dropped,
@@ -69,14 +69,14 @@
     Ok((writer, guard))
 }
 
-fn write_all(receiver: &Receiver<Message>, dropped: &AtomicU64, out: &mut impl Write) {
+fn write_batches(receiver: &Receiver<Message>, dropped: &AtomicU64, out: &mut impl Write) {
     let mut batch = Vec::new();
     let mut has_ended = false;
     while !has_ended {
         let Ok(first) = receiver.recv() else {
             return;
         };
-        std::thread::sleep(GATHER);
+        std::thread::sleep(BATCH_DELAY);
         let mut next = Some(first);
         while let Some(message) = next {
             match message {
@@ -89,7 +89,7 @@
         if lost > 0 {
             batch.extend_from_slice(format!("{{\"dropped-lines\":{lost}}}\n").as_bytes());
         }
-        // Nobody is left to be told that the log cannot be written.
+        // A failed write is ignored: there is no other place to report it.
         let _ = out.write_all(&batch).and_then(|()| out.flush());
         batch.clear();
     }
@@ -98,7 +98,7 @@
 impl Write for QueueWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         for piece in bytes.split_inclusive(|byte| *byte == b'\n') {
-            let room = LINE_MAX.saturating_sub(self.line.len());
+            let room = MAX_LINE_BYTES.saturating_sub(self.line.len());
             let is_end = piece.ends_with(b"\n");
             self.line.extend_from_slice(&piece[..piece.len().min(room)]);
             if is_end {
--- a/crates/verbenahitch/src/event/trace.rs
+++ b/crates/verbenahitch/src/event/trace.rs
@@ -1,31 +1,31 @@
-//! The way of one request or task through the logs of several processes.
+//! Log lines about one job or task, collected from the logs of several processes.
 
 use serde_json::{Map, Value};
 
 use super::Kind;
 use crate::domain::Millis;
 
-/// First and last number of the events about owners and the store, which explain
-/// what happens to any request.
-const CONTEXT: std::ops::Range<u16> = 300..400;
+/// Numbers of the events about ownership, the store and permits. They can affect any
+/// job and are shown with it.
+const CONTEXT_EVENTS: std::ops::Range<u16> = 300..400;
 
 /// One line of a log.
 #[derive(Clone, Debug, PartialEq)]
 struct Line {
     /// Wall-clock time, Unix milliseconds.
     time: Millis,
-    /// Process that wrote it.
+    /// Process that wrote the line.
     process: String,
-    /// Fields of an event, none for free text.
+    /// Fields of an event, empty for free text.
     fields: Map<String, Value>,
     /// Free text, empty for an event.
     text: String,
 }
 
 impl Line {
-    /// Reads a line; what stands before its first brace is left out.
+    /// Parses a line; text before the first brace is ignored.
     ///
-    /// None is returned for what is not a line of a log.
+    /// Returns `None` if it is not a log line.
     fn parse(text: &str) -> Option<Self> {
         let start = text.find('{')?;
         let value: Value = serde_json::from_str(text[start..].trim_end()).ok()?;
@@ -38,23 +38,27 @@
         })
     }
 
-    /// Whether it names `id`, or something that belongs to it.
-    fn names(&self, id: &str) -> bool {
+    /// Returns whether a field or the text contains `id` or the name of one of its tasks.
+    fn mentions(&self, id: &str) -> bool {
         let fields = self.fields.values().filter_map(Value::as_str);
         let mut texts = fields.chain([self.text.as_str()]);
-        texts.any(|text| text.split(|c| !is_part(c)).any(|word| belongs(word, id)))
+        texts.any(|text| {
+            text.split(|c| !is_id_char(c))
+                .any(|word| belongs_to(word, id))
+        })
     }
 
     fn is_context(&self) -> bool {
         let number = self.fields.get("event").and_then(Value::as_u64);
-        number.is_some_and(|number| u16::try_from(number).is_ok_and(|n| CONTEXT.contains(&n)))
+        number
+            .is_some_and(|number| u16::try_from(number).is_ok_and(|n| CONTEXT_EVENTS.contains(&n)))
     }
 
-    /// In words, with the time since `start`.
+    /// The line as text, with the time since `start`.
     fn describe(&self, start: Millis) -> String {
         let name = self.fields.get("name").and_then(Value::as_str);
         let kind = Kind::ALL.iter().find(|kind| Some(kind.name()) == name);
-        let words = kind.map_or(self.text.as_str(), |kind| kind.summary());
+        let summary = kind.map_or(self.text.as_str(), |kind| kind.summary());
         let fields = self
             .fields
             .iter()
@@ -67,7 +71,7 @@
             .collect();
         let since = self.time.saturating_sub(start);
         let line = format!(
-            "{since:>8} ms  {}  {words}  {}",
+            "{since:>8} ms  {}  {summary}  {}",
             self.process,
             fields.join(" ")
         );
@@ -75,47 +79,48 @@
     }
 }
 
-/// Characters of identifiers and of what stands behind them in a task's name.
-fn is_part(c: char) -> bool {
+/// Returns whether `c` may occur in a job ID or a task name.
+fn is_id_char(c: char) -> bool {
     c.is_ascii_alphanumeric() || c == '-' || c == '.'
 }
 
-fn belongs(word: &str, id: &str) -> bool {
+/// Returns whether `word` is `id`, or `id` followed by a dot and more, as in a task name.
+fn belongs_to(word: &str, id: &str) -> bool {
     let rest = word.strip_prefix(id);
     rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('.'))
 }
 
-/// What was found of one request.
+/// Log lines about one job or task.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Trace {
-    /// Its lines in order of time, in words, with those about owners and the store
-    /// meanwhile.
+pub struct LogTrace {
+    /// Its lines as text in order of time, together with the events about ownership,
+    /// the store and permits between its first and last line.
     pub lines: Vec<String>,
-    /// Lines that are not lines of a log.
-    pub foreign: usize,
+    /// Number of lines that are not log lines.
+    pub unparsed: usize,
 }
 
-/// Finds the lines about `id`, a job or a task, in the logs.
-pub fn trace<'a>(id: &str, logs: impl Iterator<Item = &'a str>) -> Trace {
-    let mut foreign = 0;
+/// Collects the lines about `id`, a job or a task, from the logs.
+pub fn trace<'a>(id: &str, logs: impl Iterator<Item = &'a str>) -> LogTrace {
+    let mut unparsed = 0;
     let mut lines: Vec<Line> = Vec::new();
     for text in logs.filter(|text| !text.trim().is_empty()) {
         match Line::parse(text) {
-            Some(line) if line.is_context() || line.names(id) => lines.push(line),
+            Some(line) if line.is_context() || line.mentions(id) => lines.push(line),
             Some(_) => {}
-            None => foreign += 1,
+            None => unparsed += 1,
         }
     }
     lines.sort_by_key(|line| line.time);
-    let first = lines.iter().position(|line| line.names(id));
-    let last = lines.iter().rposition(|line| line.names(id));
+    let first = lines.iter().position(|line| line.mentions(id));
+    let last = lines.iter().rposition(|line| line.mentions(id));
     let found = match (first, last) {
         (Some(first), Some(last)) => &lines[first..=last],
         _ => &[],
     };
     let start = found.first().map_or(0, |line| line.time);
-    Trace {
+    LogTrace {
         lines: found.iter().map(|line| line.describe(start)).collect(),
-        foreign,
+        unparsed,
     }
 }
--- a/crates/verbenahitch/src/http/exporter.rs
+++ b/crates/verbenahitch/src/http/exporter.rs
@@ -1,4 +1,4 @@
-//! Exporter of the metrics in the text format of Prometheus.
+//! Exporter of the metrics in the Prometheus text format.
 
 use std::net::SocketAddr;
 use std::sync::OnceLock;
@@ -11,10 +11,10 @@
 
 use super::listener::{Limits, ListenError, Listener};
 
-/// Time between two upkeeps of the recorder.
+/// Interval of the upkeep of the recorder.
 const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Longest time that a stop waits for a reading in progress, in seconds.
+/// Longest time that a stop waits for a scrape in progress, in seconds.
 const GRACE_S: u32 = 1;
 
 /// Listener that serves `/metrics`.
@@ -24,14 +24,14 @@
     upkeep: JoinHandle<()>,
 }
 
-/// Installs the recorder of the process, once; later calls return the same.
-pub fn install() -> PrometheusHandle {
+/// Installs the metrics recorder of the process; later calls return the same recorder.
+pub fn install_recorder() -> PrometheusHandle {
     static RECORDER: OnceLock<PrometheusHandle> = OnceLock::new();
     let handle = RECORDER.get_or_init(|| {
         let recorder = PrometheusBuilder::new().build_recorder();
         let handle = recorder.handle();
         if metrics::set_global_recorder(recorder).is_err() {
-            log::warn!("another recorder of metrics is installed already");
+            log::warn!("another metrics recorder is already installed");
         }
         handle
     });
@@ -46,36 +46,36 @@
     /// When the address cannot be listened on.
     pub async fn start(address: SocketAddr) -> Result<Self, ListenError> {
         let rocket = rocket::build()
-            .manage(install())
-            .mount("/", rocket::routes![read]);
+            .manage(install_recorder())
+            .mount("/", rocket::routes![scrape]);
         let limits = Limits { grace_s: GRACE_S };
         let listener = Listener::start(address, limits, rocket).await?;
         let upkeep = tokio::spawn(upkeep());
         Ok(Self { listener, upkeep })
     }
 
-    /// Address that is listened on.
+    /// Bound address.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// Ends.
+    /// Stops the upkeep and the listener.
     pub async fn stop(self) {
         self.upkeep.abort();
         self.listener.stop().await;
     }
 }
 
-/// Folds recorded samples into their distributions, which would otherwise pile
-/// up while nobody reads the metrics.
+/// Merges recorded samples into their distributions at intervals; without scrapes
+/// they would otherwise accumulate in memory.
 async fn upkeep() {
     loop {
         tokio::time::sleep(UPKEEP_INTERVAL).await;
-        install().run_upkeep();
+        install_recorder().run_upkeep();
     }
 }
 
 #[rocket::get("/metrics")]
-fn read(recorder: &State<PrometheusHandle>) -> (ContentType, String) {
+fn scrape(recorder: &State<PrometheusHandle>) -> (ContentType, String) {
     (ContentType::Plain, recorder.render())
 }
--- a/crates/verbenahitch/src/http/listener.rs
+++ b/crates/verbenahitch/src/http/listener.rs
@@ -1,4 +1,4 @@
-//! A `rocket` listener that tells its address and stops when it is told to.
+//! A `rocket` listener that reports the address it is bound to and stops on request.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use tokio::sync::oneshot;
 use tokio::task::JoinHandle;
 
-/// Time in which connections are closed after the grace, in seconds.
+/// Time after the grace period in which connections are closed, in seconds.
 const MERCY_S: u32 = 1;
 
 /// Limits of a listener.
@@ -27,7 +27,7 @@
 pub struct ListenError {
     /// Address from the settings.
     pub address: SocketAddr,
-    /// What went wrong.
+    /// Cause.
     pub reason: String,
 }
 
@@ -50,19 +50,21 @@
         limits: Limits,
         rocket: Rocket<Build>,
     ) -> Result<Self, ListenError> {
-        let failed = |reason: String| ListenError { address, reason };
+        let listen_error = |reason: String| ListenError { address, reason };
         let (ready, bound) = oneshot::channel();
         let ready = Mutex::new(Some(ready));
-        let announce = AdHoc::on_liftoff("address", move |rocket| {
+        let report_address = AdHoc::on_liftoff("address", move |rocket| {
             let address = SocketAddr::new(rocket.config().address, rocket.config().port);
             if let Some(ready) = ready.lock().ok().and_then(|mut held| held.take()) {
                 let _ = ready.send(address);
             }
             Box::pin(async {})
         });
-        let rocket = rocket.configure(config(address, limits)).attach(announce);
+        let rocket = rocket
+            .configure(config(address, limits))
+            .attach(report_address);
         let ignited = rocket.ignite().await;
-        let ignited = ignited.map_err(|error| failed(error.kind().to_string()))?;
+        let ignited = ignited.map_err(|error| listen_error(error.kind().to_string()))?;
         let shutdown = ignited.shutdown();
         let (ended, failure) = oneshot::channel();
         let server = tokio::spawn(async move {
@@ -73,7 +75,9 @@
         let address = tokio::select! {
             Ok(address) = bound => address,
             reason = failure => {
-                return Err(failed(reason.unwrap_or_else(|_| "the listener ended".to_owned())));
+                return Err(listen_error(
+                    reason.unwrap_or_else(|_| "the listener stopped before binding".to_owned()),
+                ));
             }
         };
         Ok(Self {
@@ -83,12 +87,12 @@
         })
     }
 
-    /// Address that is listened on.
+    /// Bound address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Finishes the requests in progress and ends.
+    /// Stops; requests in progress have the grace period to finish.
     pub async fn stop(self) {
         self.shutdown.notify();
         if let Err(error) = self.server.await {
--- a/crates/verbenahitch/src/lib.rs
+++ b/crates/verbenahitch/src/lib.rs
@@ -1,22 +1,22 @@
 //! A scheduler for colocated latency-critical and batch work.
 //!
-//! Operators declare [`domain::Profile`]s; services and jobs pick one. Two
+//! Operators declare [`domain::Profile`]s; each service and job runs under one. Two
 //! daemons run on every entry host:
 //!
 //! * the [`gateway`] admits callers' requests and routes them to upstreams;
 //! * the [`scheduler`] owns shards of workers and runs batch tasks on them.
 //!
-//! Both learn their addresses and availability zone from [`settings`], follow
-//! the operators' [`config`], and tell each other what they know over
-//! [`peer`]. What must last lives in the platform's key-value service, which
-//! [`adapter::Store`] speaks to.
+//! Both read their addresses and availability zone from [`settings`], follow
+//! the operators' [`config`], and exchange their state over [`peer`]. Durable
+//! state is kept in the platform's key-value service, which [`adapter::Store`]
+//! calls.
 //!
-//! On the users' platform one process a host does both: [`entry`] accepts jobs of
-//! dependent steps, and one elected owner drives [`dispatch`] for all workers.
+//! On the users' platform one process per host does both: [`entry`] accepts jobs of
+//! dependent steps, and one elected owner runs [`dispatch`] for all workers.
 //!
 //! The decision logic ([`dispatch`], [`scheduler`], [`placement`], [`interference`], and the
 //! routing in [`gateway`]) does no I/O and reads no clock, so that tests and
-//! recorded traces drive the very code that the daemons run.
+//! recorded traces run the same code as the daemons.
 
 pub mod adapter;
 pub mod client;
--- a/crates/verbenahitch/src/main.rs
+++ b/crates/verbenahitch/src/main.rs
@@ -1,4 +1,4 @@
-//! The `verbenahitch` command: parses its arguments and dispatches.
+//! The `verbenahitch` command: parses the arguments and runs a subcommand.
 
 mod cmd;
 
@@ -6,7 +6,7 @@
 
 use bpaf::{Args, ParseFailure};
 
-/// Widest line of help, in characters.
+/// Maximum length of a line of help, in characters.
 const HELP_WIDTH: usize = 100;
 
 fn main() -> ExitCode {
--- a/testsuite/examples/peers.rs
+++ b/testsuite/examples/peers.rs
@@ -1,9 +1,10 @@
-//! Measures what peers cost and how fast declarations spread, on loopback.
+//! Measures, on loopback, the cost of heartbeats between peers and how fast changed
+//! declarations reach all processes.
 //!
-//! Each process is a node with a thread and sockets of its own; all of them run
-//! in this program. Half are schedulers, half gateways, over four availability
-//! zones. `cargo run --release -p verbenahitch-testsuite --example peers -- cost`
-//! measures heartbeats, `-- spread` measures changes, and neither word does both.
+//! Each process is a node with its own thread and sockets; all of them run in this
+//! program. Half are schedulers and half gateways, in four availability zones.
+//! `cargo run --release -p verbenahitch-testsuite --example peers -- cost` measures
+//! heartbeats, `-- spread` measures changes, and no argument measures both.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -26,17 +27,17 @@
 
 const HEARTBEAT_MS: u64 = 500;
 const ZONES: [&str; 4] = ["east", "north", "south", "west"];
-const SIZES: [u8; 4] = [4, 8, 16, 28];
-const SPREADS: [u8; 2] = [7, 28];
-const RUNS: usize = 3;
-const WINDOW: Duration = Duration::from_secs(10);
-const CHANGES: u64 = 60;
+const COST_SIZES: [u8; 4] = [4, 8, 16, 28];
+const SPREAD_SIZES: [u8; 2] = [7, 28];
+const COST_RUNS: usize = 3;
+const COST_WINDOW: Duration = Duration::from_secs(10);
+const SPREAD_CHANGES: u64 = 60;
 
-/// Writes over all connections; the peers write each message at once.
+/// Writes over all connections; the peers send each message in a single write.
 static MESSAGES: AtomicU64 = AtomicU64::new(0);
 static BYTES: AtomicU64 = AtomicU64::new(0);
 
-/// Processes of all zones, of which every second is a scheduler with a watch.
+/// Processes of all zones; every second one is a scheduler that watches the store.
 struct Fleet {
     store: Store,
     network: Network,
@@ -47,13 +48,13 @@
 
 impl Fleet {
     async fn start(count: u8) -> Self {
-        let free = "127.0.0.1:0".parse().expect("an address");
+        let any_port = "127.0.0.1:0".parse().expect("an address");
         let zones = ZONES.map(str::to_owned);
         let clock = Arc::new(SystemClock::default());
-        let store = Store::with_clock(free, &zones, Settings::default(), clock).await;
+        let store = Store::with_clock(any_port, &zones, Settings::default(), clock).await;
         let mut fleet = Self {
             store: store.expect("the store starts"),
-            network: Network::metered(HEARTBEAT_MS, meter),
+            network: Network::metered(HEARTBEAT_MS, count_write),
             processes: Vec::new(),
             watches: Vec::new(),
             revision: 0,
@@ -63,7 +64,10 @@
         }
         for process in &fleet.processes {
             for other in &fleet.processes {
-                until("all processes hear each other", || process.hears(other)).await;
+                until("all processes receive each other's heartbeats", || {
+                    process.hears(other)
+                })
+                .await;
             }
         }
         fleet
@@ -88,7 +92,7 @@
         self.processes.push(process);
     }
 
-    /// Accepts one more change; returns after how many milliseconds each process had it.
+    /// Applies one change; returns the milliseconds until it was in force in each process.
     async fn change(&mut self) -> Vec<f64> {
         let client = Client::new(&self.store.address().to_string(), 1_000);
         let from = self.revision;
@@ -103,7 +107,7 @@
                 let mut changes = process.current.subscribe();
                 tokio::spawn(async move {
                     let arrived = changes.wait_for(|revision| *revision > from).await;
-                    arrived.expect("the process lives");
+                    arrived.expect("the process runs");
                     Instant::now()
                 })
             })
@@ -133,11 +137,11 @@
 #[tokio::main]
 async fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let what = arguments.first().map(String::as_str);
-    if what != Some("spread") {
+    let measurement = arguments.first().map(String::as_str);
+    if measurement != Some("spread") {
         costs().await;
     }
-    if what != Some("cost") {
+    if measurement != Some("cost") {
         spreads().await;
     }
 }
@@ -145,11 +149,11 @@
 async fn costs() {
     println!(
         "| processes | run | messages/s a process | bytes/s sent by a process | \
-         processor % a process | resident MB, all |"
+         CPU % a process | resident MB, all |"
     );
     println!("| ---: | ---: | ---: | ---: | ---: | ---: |");
-    for count in SIZES {
-        for run in 1..=RUNS {
+    for count in COST_SIZES {
+        for run in 1..=COST_RUNS {
             cost(count, run).await;
         }
     }
@@ -158,34 +162,34 @@
 async fn spreads() {
     println!("| processes | store reached by | p50 ms | p99 ms | max ms | changes |");
     println!("| ---: | --- | ---: | ---: | ---: | ---: |");
-    for count in SPREADS {
+    for count in SPREAD_SIZES {
         spread(count, false).await;
         spread(count, true).await;
     }
 }
 
-/// Cost of heartbeats without any change.
+/// Measures the cost of heartbeats while no declarations change.
 async fn cost(count: u8, run: usize) {
     let mut fleet = Fleet::start(count).await;
     fleet.change().await;
-    tokio::time::sleep(WINDOW / 5).await;
-    let (before, spent) = (traffic(), processor_s());
+    tokio::time::sleep(COST_WINDOW / 5).await;
+    let (before, spent) = (traffic(), cpu_s());
     let started = Instant::now();
-    tokio::time::sleep(WINDOW).await;
+    tokio::time::sleep(COST_WINDOW).await;
     let later = traffic();
-    let share = started.elapsed().as_secs_f64() * f64::from(count);
-    // Each process sends and receives; a byte counts once, at its sender.
-    let messages = (later.0 - before.0) as f64 / share;
-    let bytes = (later.1 - before.1) as f64 / share;
-    let processor = (processor_s() - spent) / share * 100.0;
+    let process_seconds = started.elapsed().as_secs_f64() * f64::from(count);
+    // Every write is counted once, at its sender.
+    let messages = (later.0 - before.0) as f64 / process_seconds;
+    let bytes = (later.1 - before.1) as f64 / process_seconds;
+    let cpu_percent = (cpu_s() - spent) / process_seconds * 100.0;
     println!(
-        "| {count} | {run} | {messages:.1} | {bytes:.0} | {processor:.2} | {:.0} |",
+        "| {count} | {run} | {messages:.1} | {bytes:.0} | {cpu_percent:.2} | {:.0} |",
         resident_mb()
     );
     fleet.stop().await;
 }
 
-/// Time from the acceptance of a change to its being in force at each process.
+/// Measures the time from the acceptance of a change until it is in force in each process.
 async fn spread(count: u8, cut: bool) {
     let mut fleet = Fleet::start(count).await;
     fleet.change().await;
@@ -196,34 +200,34 @@
         }
     }
     let mut times = Vec::new();
-    for _ in 0..CHANGES {
+    for _ in 0..SPREAD_CHANGES {
         times.extend(fleet.change().await);
     }
     times.sort_by(f64::total_cmp);
     let at = |percent: usize| times[(times.len() - 1) * percent / 100];
-    let who = if cut {
+    let reach = if cut {
         "one zone of four"
     } else {
         "all schedulers"
     };
     let (p50, p99, max) = (at(50), at(99), at(100));
-    println!("| {count} | {who} | {p50:.0} | {p99:.0} | {max:.0} | {CHANGES} |");
+    println!("| {count} | {reach} | {p50:.0} | {p99:.0} | {max:.0} | {SPREAD_CHANGES} |");
     fleet.stop().await;
 }
 
-fn meter(bytes: usize) {
+fn count_write(bytes: usize) {
     MESSAGES.fetch_add(1, Ordering::Relaxed);
     BYTES.fetch_add(bytes as u64, Ordering::Relaxed);
 }
 
-/// Messages and bytes so far.
+/// Messages and bytes sent so far.
 fn traffic() -> (u64, u64) {
     let messages = MESSAGES.load(Ordering::Relaxed);
     (messages, BYTES.load(Ordering::Relaxed))
 }
 
-/// Processor time of this program so far, in seconds.
-fn processor_s() -> f64 {
+/// CPU time used by this program so far, in seconds.
+fn cpu_s() -> f64 {
     const TICKS_PER_S: f64 = 100.0;
     let stat = std::fs::read_to_string("/proc/self/stat").expect("this runs on Linux");
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split(' ').collect();
--- a/testsuite/src/bin/testsuite-standin.rs
+++ b/testsuite/src/bin/testsuite-standin.rs
@@ -1,4 +1,4 @@
-//! The `verbenahitch-standin` command, built with the tests that start it.
+//! The `verbenahitch-standin` command, built together with the tests that start it.
 
 use std::process::ExitCode;
 
--- a/testsuite/src/lib.rs
+++ b/testsuite/src/lib.rs
@@ -1,1 +1,1 @@
-//! The testsuite has no library code; see `tests/`.
+//! Empty: the test suite consists of the tests in `tests/`.
--- a/testsuite/tests/testsuite/event/mod.rs
+++ b/testsuite/tests/testsuite/event/mod.rs
@@ -1,3 +1,3 @@
-//! Tests of the log.
+//! Tests of the event log.
 
 mod trace;
--- a/testsuite/tests/testsuite/event/trace.rs
+++ b/testsuite/tests/testsuite/event/trace.rs
@@ -1,9 +1,9 @@
-//! The way of a request through the logs of several processes.
+//! Collecting the lines about one job or task from the logs of several processes.
 
 use test_case::test_case;
 use verbenahitch::event::trace;
 
-/// Two hosts' logs: one accepts the job, the other owns the dispatching and is lost.
+/// Logs of two hosts: `b` accepts the job, `a` owns the dispatching and loses its lease.
 const LOGS: &str = r#"
 {"time":1000,"level":"INFO","process":"a","entry":{"event":304,"name":"owner-elected","fence":7}}
 {"time":2000,"level":"INFO","process":"b","entry":{"event":101,"name":"answered","method":"POST","path":"/q/0a1b","status":200}}
@@ -17,7 +17,7 @@
 "#;
 
 #[test]
-fn a_job_is_followed_through_all_logs_in_order() {
+fn lines_of_a_job_are_merged_in_order_of_time() {
     let found = trace("0a1b", LOGS.lines());
     let expected = [
         "       0 ms  b  A request got its final answer.  method=POST path=/q/0a1b status=200",
@@ -27,13 +27,13 @@
         "    1010 ms  b  A task has ended.  cause=done run=1 task=0a1b.0.0.1",
     ];
     assert_eq!(found.lines, expected);
-    assert_eq!(found.foreign, 1);
+    assert_eq!(found.unparsed, 1);
 }
 
-#[test_case("0a1b.0.0.1", 3; "a task with what happened meanwhile")]
-#[test_case("0a1bc", 1; "another job that begins alike")]
+#[test_case("0a1b.0.0.1", 3; "a task, with an ownership event between its lines")]
+#[test_case("0a1bc", 1; "a job whose identifier extends that of another")]
 #[test_case("0a", 0; "the beginning of an identifier")]
 #[test_case("ffff", 0; "an unknown job")]
-fn only_what_belongs_to_it_is_found(id: &str, lines: usize) {
+fn only_lines_about_the_id_are_found(id: &str, lines: usize) {
     assert_eq!(trace(id, LOGS.lines()).lines.len(), lines);
 }
