--- a/crates/verbenahitch/src/gateway/admission/control.rs
+++ b/crates/verbenahitch/src/gateway/admission/control.rs
@@ -61,8 +61,7 @@
         let floor_ms = shared.latency.floor_us(&call.kind) / 1_000;
         let left = call.deadline.since(now);
         if left <= floor_ms {
-            let reason =
-                format!("the deadline is in {left} ms, an answer takes at least {floor_ms} ms");
+            let reason = format!("{left} ms are left, an answer takes {floor_ms} ms or more");
             return Err(Refusal::new(Cause::TooLate, reason));
         }
         // A new request must not overtake requests that wait.
@@ -144,7 +143,7 @@
     shared.admission.freed.remove_waiter();
     let (waiter, refusal) = match shed {
         Shed::Late(waiter, wait) => {
-            let reason = "no slot is expected to be free before the deadline";
+            let reason = "no slot comes free in time for the deadline";
             let refusal = Refusal::new(Cause::TooLate, reason).with_retry_after(wait);
             (waiter, refusal)
         }
--- a/crates/verbenahitch/src/gateway/idempotency/claim.rs
+++ b/crates/verbenahitch/src/gateway/idempotency/claim.rs
@@ -91,7 +91,7 @@
                 return request.grant(claim.bucket, claim.index.unwrap_or(0));
             }
             Ok(Some(result)) => return request.answer(result),
-            Ok(None) => failure = "the key was changed by others on every try".to_owned(),
+            Ok(None) => failure = "the key changes too fast".to_owned(),
             Err(error) => failure = error.to_string(),
         }
     }
--- a/crates/verbenahitch/src/gateway/idempotency/committer.rs
+++ b/crates/verbenahitch/src/gateway/idempotency/committer.rs
@@ -100,10 +100,9 @@
             releases: self.releases.clone(),
         };
         if self.requests.try_send(request).is_err() {
-            return ClaimResult::Failed("too many idempotency keys wait for the store".to_owned());
+            return ClaimResult::Failed("too many keys wait for the store".to_owned());
         }
-        let ended =
-            |_| ClaimResult::Failed("the committer of idempotency keys has stopped".to_owned());
+        let ended = |_| ClaimResult::Failed("the committer has ended".to_owned());
         answer.await.unwrap_or_else(ended)
     }
 
--- a/crates/verbenahitch/src/gateway/operators/jobs.rs
+++ b/crates/verbenahitch/src/gateway/operators/jobs.rs
@@ -19,7 +19,7 @@
 /// ID of the job that the calling team submits under `key`.
 pub(super) fn submission_id(principal: &Principal, key: &str) -> Result<JobId, ApiError> {
     let Principal::Team(team) = principal else {
-        let reason = "jobs can only be submitted with a team's token";
+        let reason = "jobs are submitted with a team's token";
         return Err(ApiError::new(Status::Forbidden, reason));
     };
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
@@ -36,7 +36,7 @@
 pub(super) fn job_id(principal: &Principal, id: &str) -> Result<JobId, ApiError> {
     let team = id.rsplit_once('.').map(|(team, _)| team);
     let Some(team) = team else {
-        let reason = format!("found job {id:?}, expected the form team.key");
+        let reason = format!("found job {id:?}, a job is named team.key");
         return Err(ApiError::new(Status::BadRequest, reason));
     };
     if !principal.may_handle(team) {
@@ -70,7 +70,7 @@
     match context.store.cas(&keys::name(id), value, 0).await {
         Ok(true) => Ok(shard),
         Ok(false) | Err(StoreError::Unanswered { .. }) => {
-            let lost = || ApiError::unclear(format!("the shard of job {id} is not recorded yet"));
+            let lost = || ApiError::unclear(format!("job {id} has no shard yet"));
             shard_of(context, id).await?.ok_or_else(lost)
         }
         Err(error) => Err(ApiError::unavailable(error, RETRY_MS)),
--- a/crates/verbenahitch/src/gateway/operators/routes.rs
+++ b/crates/verbenahitch/src/gateway/operators/routes.rs
@@ -60,9 +60,9 @@
 #[rocket::catch(default)]
 fn refused(status: Status, _: &Call<'_>) -> ApiError {
     let reason = match status {
-        Status::Unauthorized => "the call carries no valid bearer token",
+        Status::Unauthorized => "the call shows no valid bearer token",
         Status::Forbidden => "the token does not allow this call",
-        Status::NotFound => "no route has this path",
+        Status::NotFound => "there is no such path",
         other => other.reason_lossy(),
     };
     ApiError::new(status, reason)
@@ -81,7 +81,7 @@
     body: Data<'_>,
 ) -> Reply<Confirmed> {
     let missing = || {
-        let reason = "the query must give the revision that the change is based on, as ?from=";
+        let reason = "the query must give the revision that the change was made from, as ?from=";
         ApiError::new(Status::BadRequest, reason)
     };
     let from = from.ok_or_else(missing)?;
@@ -227,7 +227,7 @@
     let malformed = |error: std::io::Error| ApiError::new(Status::BadRequest, error);
     let text = text.map_err(malformed)?;
     if !text.is_complete() {
-        let reason = format!("the body exceeds the limit of {limit} bytes");
+        let reason = format!("the body is longer than {limit} bytes");
         return Err(ApiError::new(Status::PayloadTooLarge, reason));
     }
     Ok(text.into_inner())
--- a/crates/verbenahitch/src/gateway/path/body.rs
+++ b/crates/verbenahitch/src/gateway/path/body.rs
@@ -48,7 +48,7 @@
             Ok(Err(error)) => return Err(ended_early(&error)),
             Ok(Ok(0)) => break,
             Ok(Ok(_)) if body.len() as u64 > limits.size => {
-                let reason = format!("the body exceeds the limit of {} bytes", limits.size);
+                let reason = format!("the body is above the limit of {} bytes", limits.size);
                 return Err(Refusal::new(Cause::BodyTooLarge, reason));
             }
             Ok(Ok(_)) => {}
@@ -58,10 +58,7 @@
         .length
         .is_some_and(|length| length != body.len() as u64)
     {
-        return Err(Refusal::new(
-            Cause::Malformed,
-            "the body is shorter than its Content-Length",
-        ));
+        return Err(Refusal::new(Cause::Malformed, "the body ended early"));
     }
     Ok(body)
 }
--- a/crates/verbenahitch/src/gateway/path/forward.rs
+++ b/crates/verbenahitch/src/gateway/path/forward.rs
@@ -104,7 +104,7 @@
     if header(&response, REQUEST_ID) != Some(outgoing.id.as_str()) {
         return unknown(
             UnknownCause::Crossed,
-            "the answer does not repeat the x-request-id of the request",
+            "the answer belongs to another request",
         );
     }
     let leaving = header(&response, LEAVING) == Some("true");
@@ -125,7 +125,7 @@
     limits: Limits,
 ) -> Result<Vec<u8>, (UnknownCause, String)> {
     if !is_delimited(response, &outgoing.method) {
-        let reason = "the answer has neither a Content-Length nor a Transfer-Encoding".to_owned();
+        let reason = "the answer's end cannot be known".to_owned();
         return Err((UnknownCause::Truncated, reason));
     }
     let length = match outgoing.method {
@@ -133,7 +133,7 @@
         _ => response.content_length().unwrap_or(0),
     };
     let too_large = || {
-        let reason = format!("the answer exceeds the limit of {} bytes", limits.size);
+        let reason = format!("the answer is above the limit of {} bytes", limits.size);
         Err((UnknownCause::AnswerTooLarge, reason))
     };
     if length > limits.size {
@@ -142,7 +142,12 @@
     let mut body = Vec::with_capacity(usize::try_from(length).unwrap_or(0));
     loop {
         match tokio::time::timeout(limits.silence, response.chunk()).await {
-            Err(_) => return Err((UnknownCause::Truncated, "the answer stalled".to_owned())),
+            Err(_) => {
+                return Err((
+                    UnknownCause::Truncated,
+                    "the answer stopped midway".to_owned(),
+                ));
+            }
             Ok(Err(error)) => return Err((UnknownCause::Truncated, describe(&error))),
             Ok(Ok(None)) => return Ok(body),
             Ok(Ok(Some(chunk))) => body.extend_from_slice(&chunk),
--- a/crates/verbenahitch/src/gateway/path/handler.rs
+++ b/crates/verbenahitch/src/gateway/path/handler.rs
@@ -165,7 +165,7 @@
 fn check_method_override(request: &Request<'_>, body: &[u8]) -> Result<(), Refusal> {
     let is_form = request.content_type().is_some_and(|kind| kind.is_form());
     if is_form && body.starts_with(b"_method=") {
-        let reason = "a form body must not start with the field _method";
+        let reason = "a form must not start with the field _method";
         return Err(Refusal::new(Cause::Malformed, reason));
     }
     Ok(())
--- a/crates/verbenahitch/src/gateway/path/head.rs
+++ b/crates/verbenahitch/src/gateway/path/head.rs
@@ -47,7 +47,7 @@
         let length = check_framing(request, settings.body_limit)?;
         let method = request.method().as_str();
         let method = reqwest::Method::from_bytes(method.as_bytes())
-            .map_err(|_| malformed(format!("method {method:?} is not supported")))?;
+            .map_err(|_| malformed(format!("method {method:?} is not known")))?;
         Ok(Self {
             method,
             path: request.uri().path().to_string(),
@@ -78,7 +78,7 @@
 fn check_host(request: &Request<'_>) -> Result<(), Refusal> {
     match single_field(request, "host")? {
         None => Err(malformed("the Host field is missing")),
-        Some(_) if request.host().is_none() => Err(malformed("the Host field is not a valid host")),
+        Some(_) if request.host().is_none() => Err(malformed("the Host field is not a host")),
         Some(_) => Ok(()),
     }
 }
@@ -89,7 +89,7 @@
     // Either leaves the framing ambiguous, so only a Content-Length is accepted.
     if request.headers().contains("transfer-encoding") {
         return Err(malformed(
-            "Transfer-Encoding is not supported, send a Content-Length",
+            "Transfer-Encoding is not taken, send a Content-Length",
         ));
     }
     let Some(length) = single_field(request, "content-length")? else {
@@ -111,7 +111,7 @@
         return Ok(Some(key.to_owned()));
     }
     Err(malformed(format!(
-        "an idempotency key must have 1 to {limit} visible ASCII characters, found {} bytes",
+        "an idempotency key has 1 to {limit} visible ASCII characters, found {} bytes",
         key.len()
     )))
 }
@@ -139,9 +139,7 @@
     let mut values = request.headers().get(name);
     let first = values.next();
     match values.next() {
-        Some(_) => Err(malformed(format!(
-            "{name} must be given once, found it more than once"
-        ))),
+        Some(_) => Err(malformed(format!("{name} is given more than once"))),
         None => Ok(first),
     }
 }
@@ -153,7 +151,7 @@
         .filter(|number| *number <= NUMBER_LIMIT)
         .ok_or_else(|| {
             malformed(format!(
-                "{name} must be a whole number up to 2^53, found {value:?}"
+                "{name} is a whole number up to 2^53, found {value:?}"
             ))
         })
 }
--- a/crates/verbenahitch/src/gateway/path/serve.rs
+++ b/crates/verbenahitch/src/gateway/path/serve.rs
@@ -174,7 +174,7 @@
         Some((cause, reason)) => RequestOutcome::Unknown(cause, reason),
         None => RequestOutcome::Refused(Refusal::new(
             Cause::NoUpstream,
-            "no upstream that was tried accepted the request",
+            "the upstreams that were tried did not take the request",
         )),
     }
 }
