--- a/crates/verbenahitch/src/scheduler/daemon/driver.rs
+++ b/crates/verbenahitch/src/scheduler/daemon/driver.rs
@@ -242,7 +242,7 @@
         drop(self.commits);
         self.writer.await.ok();
         for (_, reply) in self.replies.drain() {
-            let reason = "the shard is changing owners".to_owned();
+            let reason = "the shard changes hands".to_owned();
             let unclear = SubmitError::Unclear { reason };
             reply.send(Answer::Refused(unclear)).ok();
         }
--- a/crates/verbenahitch/src/scheduler/shard/commit.rs
+++ b/crates/verbenahitch/src/scheduler/shard/commit.rs
@@ -300,10 +300,7 @@
         for remaining in [effects, job.pending] {
             self.acknowledge(remaining.acks);
             for request in remaining.accepts.into_iter().chain(remaining.answers) {
-                self.refuse(
-                    request,
-                    unavailable("the job was moved to another shard or removed"),
-                );
+                self.refuse(request, unavailable("the job has left the shard"));
             }
         }
     }
--- a/crates/verbenahitch/src/scheduler/shard/requests.rs
+++ b/crates/verbenahitch/src/scheduler/shard/requests.rs
@@ -105,7 +105,7 @@
         check_sizes(spec, profile)?;
         self.check_fit(spec, profile, now)?;
         if self.releasing {
-            return Err(unavailable("the owner is releasing the shard"));
+            return Err(unavailable("the owner of the shard is leaving"));
         }
         if self.committer.is_failing() {
             return Err(unavailable("the platform's store does not answer"));
