--- a/crates/verbenahitch/src/config/change.rs
+++ b/crates/verbenahitch/src/config/change.rs
@@ -42,7 +42,7 @@
     },
     /// Another change was accepted since revision `from`; nothing was written.
     #[snafu(display(
-        "the change is based on revision {from}, but revision {} has been accepted since",
+        "the change was made from revision {from}, but revision {} is accepted already",
         newer.revision
     ))]
     Stale {
@@ -64,7 +64,7 @@
         reason: String,
     },
     /// The outcome is unknown: the change may have been accepted.
-    #[snafu(display("it is unknown whether the change was accepted: {reason}"))]
+    #[snafu(display("it is not known whether the change was accepted: {reason}"))]
     Unclear {
         /// Why.
         reason: String,
@@ -154,7 +154,7 @@
             other => return other,
         }
     }
-    let reason = format!("{MAX_EDIT_ATTEMPTS} conflicts with other changes in a row");
+    let reason = format!("{MAX_EDIT_ATTEMPTS} other changes came first");
     Err(ChangeError::Unavailable { reason })
 }
 
--- a/crates/verbenahitch/src/config/declarations.rs
+++ b/crates/verbenahitch/src/config/declarations.rs
@@ -144,8 +144,7 @@
                 .bytes()
                 .all(|byte| byte.is_ascii_hexdigit());
             if team.token_digest.len() != 64 || !hex {
-                let reason =
-                    "is not a SHA-256 digest, allowed are 64 hexadecimal digits".to_owned();
+                let reason = "a SHA-256 digest has 64 hexadecimal digits".to_owned();
                 push_fault(&mut faults, format!("teams.{name}.token-digest"), reason);
             }
         }
@@ -167,12 +166,12 @@
         for (name, zone) in &self.zones {
             match next.zones.get(name) {
                 None => {
-                    let reason = "a declared zone cannot be removed, only set to out".to_owned();
+                    let reason = "a declared zone is taken out, not left out".to_owned();
                     push_fault(&mut faults, format!("zones.{name}"), reason);
                 }
                 Some(after) if after.shards < zone.shards => {
                     let reason = format!(
-                        "found {}, allowed is at least {}, as each shard may hold jobs",
+                        "found {}, allowed is at least the {} that may hold jobs",
                         after.shards, zone.shards
                     );
                     push_fault(&mut faults, format!("zones.{name}.shards"), reason);
@@ -225,7 +224,7 @@
         check(
             profile.resources.millicores > 0 && profile.resources.memory_mib > 0,
             "resources",
-            "found zero millicores or memory-mib, allowed are values above zero".to_owned(),
+            "a task needs processors and memory above zero".to_owned(),
         );
     }
 }
--- a/crates/verbenahitch/src/dispatch/job.rs
+++ b/crates/verbenahitch/src/dispatch/job.rs
@@ -227,7 +227,7 @@
         steps: usize,
     },
     /// A step without tasks or with too many.
-    #[snafu(display("step {step} has {count} tasks, but must have between 1 and {MAX_TASKS}"))]
+    #[snafu(display("step {step} has {count} tasks, allowed are 1 to {MAX_TASKS}"))]
     Count {
         /// Index of the step.
         step: usize,
@@ -235,7 +235,7 @@
         count: u32,
     },
     /// A dependency on a step that is not an earlier one.
-    #[snafu(display("step {step} depends on step {on}, but may only depend on earlier steps"))]
+    #[snafu(display("step {step} waits for step {on}, which is not an earlier one"))]
     Order {
         /// Index of the step.
         step: usize,
--- a/crates/verbenahitch/src/entry/link.rs
+++ b/crates/verbenahitch/src/entry/link.rs
@@ -218,7 +218,7 @@
 
 /// Error for a call that only the owner can serve.
 fn not_owner() -> capnp::Error {
-    capnp::Error::disconnected("this process is not the owner".to_owned())
+    capnp::Error::disconnected("this process does not own the dispatching".to_owned())
 }
 
 impl OwnerServer {
--- a/crates/verbenahitch/src/peer/link.rs
+++ b/crates/verbenahitch/src/peer/link.rs
@@ -85,7 +85,7 @@
         let connection = match dialled {
             Ok(Ok(connection)) => Rc::new(connection),
             Ok(Err(error)) => return Err(self.not_sent(error.to_string())),
-            Err(_) => return Err(self.not_sent("login timed out".to_owned())),
+            Err(_) => return Err(self.not_sent("no answer to the login".to_owned())),
         };
         self.connection.replace(Some(Rc::clone(&connection)));
         Ok(connection)
--- a/crates/verbenahitch/src/peer/local.rs
+++ b/crates/verbenahitch/src/peer/local.rs
@@ -117,7 +117,7 @@
                 return Ok(answer);
             }
             Ok(Err(error)) => error.to_string(),
-            Err(_) => format!("no answer within {} ms", timeout.as_millis()),
+            Err(_) => format!("nothing for {} ms", timeout.as_millis()),
         };
         self.close_and_back_off(&link, &connection);
         Err(CallError::Unanswered {
--- a/crates/verbenahitch/src/peer/server.rs
+++ b/crates/verbenahitch/src/peer/server.rs
@@ -90,7 +90,7 @@
             Entry::new(Kind::PeerRejected)
                 .with("from", self.from)
                 .emit();
-            return Err(Error::failed("the peer token is not valid".to_owned()));
+            return Err(Error::failed("the token is not valid".to_owned()));
         }
         self.calls.set(self.calls.get() + 1);
         let server = NodeServer {
@@ -214,12 +214,11 @@
             reply,
         };
         let answer = if self.local.incoming.try_send(incoming).is_err() {
-            unavailable("the request queue of the process is full or closed".to_owned())
+            unavailable("the process takes no requests now".to_owned())
         } else {
             let timeout = Duration::from_millis(ASK_TIMEOUT_MS);
             let answer = tokio::time::timeout(timeout, answer).await;
-            let answer = answer
-                .map_err(|_| Error::failed("the request was not answered in time".to_owned()))?;
+            let answer = answer.map_err(|_| Error::failed("no answer in time".to_owned()))?;
             answer.map_err(|_| Error::failed("the request was dropped".to_owned()))?
         };
         let answer: Answer = answer;
@@ -237,8 +236,7 @@
         self.count_call();
         let session = params.get()?.get_session()?.to_string()?;
         let store = self.local.shared.store.load_full();
-        let store = store
-            .ok_or_else(|| Error::failed("this process renews no store sessions".to_owned()))?;
+        let store = store.ok_or_else(|| Error::failed("no store".to_owned()))?;
         let renewed = store.renew_session(&session).await;
         let renewed = renewed.map_err(|error| Error::failed(error.to_string()))?;
         results.get().set_renewed(renewed);
--- a/crates/verbenahitch/src/peer/wire.rs
+++ b/crates/verbenahitch/src/peer/wire.rs
@@ -37,7 +37,7 @@
 pub(super) fn read_member(from: member::Reader<'_>) -> capnp::Result<Member> {
     let address = from.get_address()?.to_str()?;
     let address = address.parse();
-    let address = address.map_err(|_| Error::failed("member address is not IP:PORT".to_owned()))?;
+    let address = address.map_err(|_| Error::failed("malformed address".to_owned()))?;
     let shards = from.get_shards()?.iter().map(|owned| {
         Ok(OwnedShard {
             shard: owned.get_shard()?.to_string()?,
--- a/crates/verbenahitch/src/port/store.rs
+++ b/crates/verbenahitch/src/port/store.rs
@@ -77,7 +77,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum StoreError {
     /// The call provably took no effect.
-    #[snafu(display("store at {address} did not accept the call, it took no effect: {reason}"))]
+    #[snafu(display("store at {address} did not take the call: {reason}"))]
     Unreachable {
         /// Address of the store.
         address: String,
@@ -86,7 +86,7 @@
     },
     /// The call may have taken effect.
     #[snafu(display(
-        "store at {address} did not answer, the call may have taken effect: {reason}"
+        "store at {address} gave no answer, the call may have taken effect: {reason}"
     ))]
     Unanswered {
         /// Address of the store.
