--- a/crates/verbenahitch/src/gateway/operators/routes.rs
+++ b/crates/verbenahitch/src/gateway/operators/routes.rs
@@ -24,12 +24,15 @@
 
 type Reply<T> = Result<Json<T>, ApiError>;
 
+/// Serde writes the name of this type into the text of a refusal, which must not change.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct ZoneChange {
+struct Order {
     state: ZoneState,
 }
 
+type ZoneChange = Order;
+
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Submission {
