--- a/crates/standin/src/fault/fairing.rs
+++ b/crates/standin/src/fault/fairing.rs
@@ -1,4 +1,4 @@
-//! Fairing that holds calls back and loses answers.
+//! Fairing that holds back calls and answers and loses answers to writes.
 
 use std::future::pending;
 use std::sync::atomic::Ordering;
@@ -10,20 +10,20 @@
 
 use super::Faults;
 
-/// The faults as the callers of one address see them.
-pub struct Door {
+/// Applies the faults to the calls at one address.
+pub struct FaultFairing {
     faults: Faults,
     zone: Option<String>,
 }
 
-impl Door {
+impl FaultFairing {
     pub(super) fn new(faults: Faults, zone: Option<String>) -> Self {
         Self { faults, zone }
     }
 }
 
 #[rocket::async_trait]
-impl Fairing for Door {
+impl Fairing for FaultFairing {
     fn info(&self) -> Info {
         Info {
             name: "faults",
@@ -32,25 +32,25 @@
     }
 
     async fn on_request(&self, request: &mut Request<'_>, _: &mut Data<'_>) {
-        if self.faults.note(request.remote()) {
+        if self.faults.record_connection(request.remote()) {
             pending::<()>().await;
         }
         let delay_ms = self.faults.shared.delay_ms.load(Ordering::Relaxed);
         if delay_ms > 0 {
             tokio::time::sleep(Duration::from_millis(delay_ms)).await;
         }
-        self.faults.pass(self.zone.as_deref()).await;
+        self.faults.wait_until_open(self.zone.as_deref()).await;
     }
 
     async fn on_response<'r>(&self, request: &'r Request<'_>, _: &mut Response<'r>) {
-        let write = request.method() != Method::Get;
-        if write && self.faults.take_loss() {
+        let is_write = request.method() != Method::Get;
+        if is_write && self.faults.take_loss() {
             pending::<()>().await;
         }
         if self.faults.is_silent(request.remote()) {
             pending::<()>().await;
         }
-        // A process that is frozen while it works answers after it has thawed.
-        self.faults.pass(self.zone.as_deref()).await;
+        // A call that was being carried out when the freeze began is answered after the thaw.
+        self.faults.wait_until_open(self.zone.as_deref()).await;
     }
 }
--- a/crates/standin/src/fault/mod.rs
+++ b/crates/standin/src/fault/mod.rs
@@ -1,6 +1,6 @@
-//! Faults that a test or an operator of the demo brings about.
+//! Fault injection for tests and for operators of the demo.
 //!
-//! The controls act on whole HTTP calls, by a fairing in front of every
+//! The controls act on whole HTTP calls, through a fairing in front of every
 //! stand-in's routes: a call that is held back has had no effect yet, and a
 //! call whose answer is lost has had its effect.
 
@@ -15,9 +15,9 @@
 use tokio::sync::watch;
 use verbenahitch::domain::Millis;
 
-pub use fairing::Door;
+pub use fairing::FaultFairing;
 
-/// Controls of one stand-in; clones share them.
+/// Fault controls of one stand-in; clones share their state.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
     shared: Arc<Shared>,
@@ -27,15 +27,15 @@
 struct Shared {
     gate: watch::Sender<Gate>,
     delay_ms: AtomicU64,
-    lost: AtomicU64,
+    answers_to_lose: AtomicU64,
     connections: Mutex<Connections>,
 }
 
-/// What holds calls back.
+/// Conditions that hold calls back.
 #[derive(Clone, Debug, Default)]
 struct Gate {
     frozen: bool,
-    cut: HashSet<String>,
+    cut_zones: HashSet<String>,
     cut_all: bool,
 }
 
@@ -45,7 +45,7 @@
     silent: HashSet<SocketAddr>,
 }
 
-/// One change of the controls, as the control port takes it.
+/// One change of the fault controls, in the format of the control port.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(
     rename_all = "kebab-case",
@@ -53,30 +53,30 @@
     tag = "fault"
 )]
 pub enum Fault {
-    /// Accepts connections and answers nothing until thawed.
+    /// Accepts connections, but holds back every call and answer until thawed.
     Freeze,
-    /// Goes on after a freeze; calls that wait are carried out.
+    /// Ends a freeze; calls that were held back are carried out.
     Thaw,
-    /// Hears nothing from an availability zone, or from nobody.
+    /// Holds back the calls from one availability zone, or from all.
     Cut {
-        /// Availability zone; all if absent.
+        /// Availability zone of the callers; all if absent.
         zone: Option<String>,
     },
-    /// Hears everybody again.
+    /// Ends all cuts.
     Mend,
-    /// Answers later.
+    /// Delays every call.
     Slow {
-        /// Extra time before a call is carried out, in milliseconds; zero ends the fault.
+        /// Delay before a call is carried out, in milliseconds; zero ends the fault.
         delay_ms: Millis,
     },
-    /// Carries out writes and loses their answers.
+    /// Carries out writes, but sends no answer to them.
     Lose {
-        /// Number of answers; zero ends the fault.
+        /// Number of answers to lose; zero ends the fault.
         answers: u64,
     },
-    /// Never answers again on the connections that are open now.
+    /// Stops answering for good on the connections that have carried a call so far.
     Silence,
-    /// Ends every fault but silent connections.
+    /// Ends every fault except for silent connections.
     Clear,
 }
 
@@ -85,39 +85,42 @@
         Self {
             gate: watch::channel(Gate::default()).0,
             delay_ms: AtomicU64::new(0),
-            lost: AtomicU64::new(0),
+            answers_to_lose: AtomicU64::new(0),
             connections: Mutex::default(),
         }
     }
 }
 
 impl Faults {
-    /// Brings about or ends one fault.
+    /// Injects or ends one fault.
     pub fn apply(&self, fault: Fault) {
         match fault {
-            Fault::Freeze => self.set(|gate| gate.frozen = true),
-            Fault::Thaw => self.set(|gate| gate.frozen = false),
-            Fault::Cut { zone: None } => self.set(|gate| gate.cut_all = true),
-            Fault::Cut { zone: Some(zone) } => self.set(|gate| {
-                gate.cut.insert(zone);
+            Fault::Freeze => self.change_gate(|gate| gate.frozen = true),
+            Fault::Thaw => self.change_gate(|gate| gate.frozen = false),
+            Fault::Cut { zone: None } => self.change_gate(|gate| gate.cut_all = true),
+            Fault::Cut { zone: Some(zone) } => self.change_gate(|gate| {
+                gate.cut_zones.insert(zone);
             }),
-            Fault::Mend => self.set(|gate| {
+            Fault::Mend => self.change_gate(|gate| {
                 gate.cut_all = false;
-                gate.cut.clear();
+                gate.cut_zones.clear();
             }),
             Fault::Slow { delay_ms } => self.shared.delay_ms.store(delay_ms, Ordering::Relaxed),
-            Fault::Lose { answers } => self.shared.lost.store(answers, Ordering::Relaxed),
+            Fault::Lose { answers } => self
+                .shared
+                .answers_to_lose
+                .store(answers, Ordering::Relaxed),
             Fault::Silence => self.silence(),
             Fault::Clear => self.clear(),
         }
     }
 
-    /// Fairing for the address that callers of `zone` use; `None` for an address that all use.
-    pub fn door(&self, zone: Option<&str>) -> Door {
-        Door::new(self.clone(), zone.map(str::to_owned))
+    /// Fairing for the address of the callers of `zone`; `None` for the shared address.
+    pub fn fairing(&self, zone: Option<&str>) -> FaultFairing {
+        FaultFairing::new(self.clone(), zone.map(str::to_owned))
     }
 
-    fn set(&self, change: impl FnOnce(&mut Gate)) {
+    fn change_gate(&self, change: impl FnOnce(&mut Gate)) {
         self.shared.gate.send_modify(change);
     }
 
@@ -128,9 +131,9 @@
     }
 
     fn clear(&self) {
-        self.set(|gate| *gate = Gate::default());
+        self.change_gate(|gate| *gate = Gate::default());
         self.shared.delay_ms.store(0, Ordering::Relaxed);
-        self.shared.lost.store(0, Ordering::Relaxed);
+        self.shared.answers_to_lose.store(0, Ordering::Relaxed);
     }
 
     fn connections(&self) -> MutexGuard<'_, Connections> {
@@ -138,8 +141,8 @@
         connections.unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes the connection of a call; says whether it is silent.
-    fn note(&self, remote: Option<SocketAddr>) -> bool {
+    /// Records the connection of a call; returns whether it is silent.
+    fn record_connection(&self, remote: Option<SocketAddr>) -> bool {
         let Some(remote) = remote else {
             return false;
         };
@@ -156,22 +159,23 @@
     }
 
     fn take_loss(&self) -> bool {
-        let lost = &self.shared.lost;
-        let less = |left: u64| left.checked_sub(1);
-        lost.fetch_update(Ordering::Relaxed, Ordering::Relaxed, less)
+        let answers_to_lose = &self.shared.answers_to_lose;
+        let decrement = |left: u64| left.checked_sub(1);
+        answers_to_lose
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, decrement)
             .is_ok()
     }
 
-    async fn pass(&self, zone: Option<&str>) {
+    async fn wait_until_open(&self, zone: Option<&str>) {
         let mut gate = self.shared.gate.subscribe();
-        let open = gate.wait_for(|gate| gate.lets(zone)).await.is_ok();
-        debug_assert!(open, "the gate lives as long as its faults");
+        let open = gate.wait_for(|gate| gate.admits(zone)).await.is_ok();
+        debug_assert!(open, "the sender of the gate lives as long as `self`");
     }
 }
 
 impl Gate {
-    fn lets(&self, zone: Option<&str>) -> bool {
-        let cut = zone.is_some_and(|zone| self.cut.contains(zone));
+    fn admits(&self, zone: Option<&str>) -> bool {
+        let cut = zone.is_some_and(|zone| self.cut_zones.contains(zone));
         !self.frozen && !self.cut_all && !cut
     }
 }
--- a/crates/standin/src/hosts/handle.rs
+++ b/crates/standin/src/hosts/handle.rs
@@ -1,4 +1,4 @@
-//! Handle of a running list.
+//! Handle of a running worker list.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -10,15 +10,15 @@
 
 use super::route;
 use crate::fault::Faults;
-use crate::server::{Doors, StartError};
+use crate::server::{Endpoints, StartError};
 
-/// How a list is set up.
+/// Settings of a worker list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Settings {
     /// Name of the listed service.
     pub service: String,
-    /// Time before a change shows, in milliseconds.
+    /// Delay before a change becomes visible, in milliseconds.
     pub lag_ms: Millis,
 }
 
@@ -31,14 +31,14 @@
     }
 }
 
-/// A running list; stops when dropped.
+/// A running worker list; stops when dropped.
 pub struct Hosts {
     inner: Arc<Inner>,
-    doors: Doors,
+    endpoints: Endpoints,
     faults: Faults,
 }
 
-/// State behind the routes.
+/// State shared with the routes.
 pub(super) struct Inner {
     pub(super) settings: Settings,
     clock: Arc<dyn Clock>,
@@ -47,9 +47,10 @@
 
 #[derive(Default)]
 struct List {
-    shown: BTreeMap<String, HostRecord>,
+    visible: BTreeMap<String, HostRecord>,
+    /// Changes that are not visible yet, with the time when they become so.
     pending: VecDeque<(Monotonic, Change)>,
-    /// Addresses by the callers' zone and the worker's name.
+    /// Views by the callers' zone and the worker's name.
     views: BTreeMap<(String, String), View>,
 }
 
@@ -66,7 +67,7 @@
 }
 
 impl Hosts {
-    /// Starts a list that all callers reach at `address`.
+    /// Starts a worker list that all callers reach at `address`.
     ///
     /// # Errors
     ///
@@ -75,7 +76,8 @@
         Self::with_clock(address, &[], settings, Arc::new(SystemClock::default())).await
     }
 
-    /// Starts a list whose changes show by `clock`, with a further address for each of `zones`.
+    /// Starts a worker list whose lag is timed by `clock`, with a separate address
+    /// for each of `zones`.
     ///
     /// # Errors
     ///
@@ -96,22 +98,22 @@
         let mount = Arc::new(move |rocket, zone: Option<&str>| {
             route::mount(rocket, Arc::clone(&mounted), zone)
         });
-        let doors = Doors::start(address, zones, &faults, mount).await?;
+        let endpoints = Endpoints::start(address, zones, &faults, mount).await?;
         Ok(Self {
             inner,
-            doors,
+            endpoints,
             faults,
         })
     }
 
     /// Address that all callers may use.
     pub fn address(&self) -> SocketAddr {
-        self.doors.address(None)
+        self.endpoints.address(None)
     }
 
     /// Address for the callers of `zone`.
     pub fn address_for(&self, zone: &str) -> SocketAddr {
-        self.doors.address(Some(zone))
+        self.endpoints.address(Some(zone))
     }
 
     /// Fault controls.
@@ -119,28 +121,28 @@
         &self.faults
     }
 
-    /// Closes all addresses.
+    /// Closes all ports.
     pub fn stop(&self) {
-        self.doors.stop();
+        self.endpoints.stop();
     }
 
-    /// Opens all addresses again.
+    /// Opens all ports again.
     ///
     /// # Errors
     ///
     /// When an address cannot be bound.
     pub async fn resume(&self) -> Result<(), StartError> {
-        self.doors.resume().await
+        self.endpoints.resume().await
     }
 
-    /// Shows a worker, without lag.
+    /// Adds or replaces a worker without the lag.
     pub fn show(&self, record: HostRecord) {
         let mut list = self.inner.list();
-        list.shown.insert(record.name.clone(), record);
+        list.visible.insert(record.name.clone(), record);
     }
 
-    /// Addresses at which the callers of `zone` reach a worker, instead of the common ones.
-    pub fn show_for(&self, zone: &str, record: &HostRecord) {
+    /// Sets separate addresses at which the callers of `zone` reach a worker.
+    pub fn set_view(&self, zone: &str, record: &HostRecord) {
         let view = View {
             control: record.control.clone(),
             upstream: record.upstream.clone(),
@@ -149,25 +151,27 @@
         self.inner.list().views.insert(key, view);
     }
 
-    /// Adds or replaces a worker, which shows after the lag.
+    /// Adds or replaces a worker; visible after the lag.
     pub fn put(&self, record: HostRecord) {
         self.inner.change(Change::Put(record));
     }
 
-    /// Changes the state of a worker, which shows after the lag.
+    /// Changes the state of a worker; visible after the lag.
     pub fn set_state(&self, worker: &str, state: HostState) {
         self.inner.change(Change::State(worker.to_owned(), state));
     }
 }
 
 impl Inner {
-    /// Workers as the list shows them now to the callers of a zone, or to all.
-    pub(super) fn shown(&self, zone: Option<&str>) -> Vec<HostRecord> {
+    /// Workers as the list now shows them to the callers of `zone`; `None` for the shared address.
+    pub(super) fn visible(&self, zone: Option<&str>) -> Vec<HostRecord> {
         let now = self.clock.now();
         let mut list = self.list();
-        list.catch_up(now);
-        let records = list.shown.values();
-        records.map(|record| list.seen_from(zone, record)).collect()
+        list.apply_due(now);
+        let records = list.visible.values();
+        records
+            .map(|record| list.record_for(zone, record))
+            .collect()
     }
 
     fn change(&self, change: Change) {
@@ -181,14 +185,14 @@
 }
 
 impl List {
-    fn seen_from(&self, zone: Option<&str>, record: &HostRecord) -> HostRecord {
+    fn record_for(&self, zone: Option<&str>, record: &HostRecord) -> HostRecord {
         let key = zone.map(|zone| (zone.to_owned(), record.name.clone()));
         let view = key.and_then(|key| self.views.get(&key)).cloned();
-        let common = || View {
+        let shared = || View {
             control: record.control.clone(),
             upstream: record.upstream.clone(),
         };
-        let View { control, upstream } = view.unwrap_or_else(common);
+        let View { control, upstream } = view.unwrap_or_else(shared);
         HostRecord {
             control,
             upstream,
@@ -196,15 +200,15 @@
         }
     }
 
-    fn catch_up(&mut self, now: Monotonic) {
+    fn apply_due(&mut self, now: Monotonic) {
         let due = self.pending.partition_point(|(due, _)| *due <= now);
         for (_, change) in self.pending.drain(..due) {
             match change {
                 Change::Put(record) => {
-                    self.shown.insert(record.name.clone(), record);
+                    self.visible.insert(record.name.clone(), record);
                 }
                 Change::State(worker, state) => {
-                    if let Some(record) = self.shown.get_mut(&worker) {
+                    if let Some(record) = self.visible.get_mut(&worker) {
                         record.state = state;
                     }
                 }
--- a/crates/standin/src/hosts/mod.rs
+++ b/crates/standin/src/hosts/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform's lagging list of workers.
+//! Stand-in for the platform's worker list, which lags behind changes.
 
 mod handle;
 mod route;
--- a/crates/standin/src/hosts/route.rs
+++ b/crates/standin/src/hosts/route.rs
@@ -1,4 +1,4 @@
-//! Route of the list.
+//! Route of the worker list.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 
 use super::handle::Inner;
 
-/// Availability zone whose callers use the address; `None` if all do.
+/// Availability zone of the callers of one address; `None` for the shared address.
 struct CallerZone(Option<String>);
 
 pub(super) fn mount(rocket: Rocket<Build>, inner: Arc<Inner>, zone: Option<&str>) -> Rocket<Build> {
@@ -58,12 +58,12 @@
     if name != hosts.settings.service {
         return Json(Vec::new());
     }
-    let shown = hosts.shown(zone.0.as_deref());
-    let listed = shown.iter().filter_map(|record| listed(name, record));
+    let visible = hosts.visible(zone.0.as_deref());
+    let listed = visible.iter().filter_map(|record| wire_host(name, record));
     Json(listed.collect())
 }
 
-fn listed(service: &str, record: &HostRecord) -> Option<WireHost> {
+fn wire_host(service: &str, record: &HostRecord) -> Option<WireHost> {
     let upstream: SocketAddr = record.upstream.parse().ok()?;
     let control: SocketAddr = record.control.parse().ok()?;
     let meta = BTreeMap::from([
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,9 +1,9 @@
 //! Stand-ins for the platform, the workers and the upstreams, for tests and the demo.
 //!
 //! Each stand-in speaks the published protocol that the adapters of
-//! `verbenahitch` expect, runs inside the calling process on a port of choice,
-//! and hands out its addresses, its [`fault`] controls and its [`history`].
-//! [`platform`] starts a set of them, in process or as a process of its own.
+//! `verbenahitch` expect, runs inside the calling process on a configurable
+//! port, and provides its addresses, its [`fault`] controls and its [`history`].
+//! [`platform`] starts several of them, in process or as a separate process.
 
 pub mod command;
 pub mod demo;
--- a/crates/standin/src/platform/mod.rs
+++ b/crates/standin/src/platform/mod.rs
@@ -1,8 +1,8 @@
-//! A set of stand-ins in one process, with one control port for all of them.
+//! Stand-ins in one process, with one control port for all of them.
 
 mod control;
 mod pool;
-mod set;
+mod stand_ins;
 
 pub use pool::{Pool, PoolError, parse_fixture};
-pub use set::{Addresses, Parts, Platform, PlatformError, ZoneAddresses};
+pub use stand_ins::{Addresses, Parts, Platform, PlatformError, ZoneAddresses};
--- a/crates/standin/src/platform/pool.rs
+++ b/crates/standin/src/platform/pool.rs
@@ -11,36 +11,36 @@
 
 use crate::worker::{Pressure, ServiceTime, Settings};
 
-/// Equal workers, spread evenly over availability zones and racks.
+/// Identical workers, spread evenly over availability zones and racks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Pool {
     /// Availability zones.
     pub zones: Vec<String>,
-    /// Number of workers over all availability zones.
+    /// Total number of workers in all availability zones.
     pub workers: usize,
-    /// Workers to a rack.
+    /// Number of workers in a rack.
     pub rack_size: usize,
-    /// Size of each worker.
+    /// Capacity of each worker.
     pub capacity: Resources,
     /// Requests that each upstream serves at a time.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Largest factor between a run's declared and its true time.
+    /// Maximum factor between the declared and the actual run time.
     #[serde(default = "default_spread")]
     pub run_spread: f64,
-    /// Service times by the first part of the request's path.
+    /// Service times by the first segment of the request path.
     #[serde(default)]
     pub service: BTreeMap<String, ServiceTime>,
-    /// Profiles by the first part of the request's path.
+    /// Profiles by the first segment of the request path.
     #[serde(default)]
     pub profiles: BTreeMap<String, String>,
-    /// How runs and requests press on each other.
+    /// Interference that runs cause to requests and other runs.
     #[serde(default)]
     pub pressure: Pressure,
 }
 
-/// Why a pool cannot be used.
+/// Why a fixture cannot be loaded.
 #[derive(Debug, Snafu)]
 pub enum PoolError {
     /// The file cannot be read.
@@ -51,12 +51,12 @@
         /// Cause.
         source: std::io::Error,
     },
-    /// The file has a fault.
+    /// The file is not a valid fixture.
     #[snafu(display("{}: {reason}", path.display()))]
-    Faulty {
+    Invalid {
         /// File.
         path: PathBuf,
-        /// What was found.
+        /// What is wrong with it.
         reason: String,
     },
 }
@@ -74,23 +74,23 @@
     ///
     /// # Errors
     ///
-    /// When the file cannot be read or is no pool.
+    /// When the file cannot be read or does not describe a pool.
     pub fn load(path: &Path) -> Result<Self, PoolError> {
         let text = std::fs::read_to_string(path).context(ReadSnafu { path })?;
         parse_fixture(path, &text)
     }
 
-    /// Setup of every worker; `seed` decides their draws.
+    /// Settings of every worker; `seed` seeds their random draws.
     pub fn settings(&self, seed: u64) -> Vec<Settings> {
         let zones = self.zones.len().max(1);
-        let of = |number: usize| {
+        let worker = |number: usize| {
             let zone = self.zones.get(number % zones).cloned().unwrap_or_default();
-            self.worker(&zone, number / zones, seed)
+            self.worker_settings(&zone, number / zones, seed)
         };
-        (0..self.workers).map(of).collect()
+        (0..self.workers).map(worker).collect()
     }
 
-    fn worker(&self, zone: &str, number: usize, seed: u64) -> Settings {
+    fn worker_settings(&self, zone: &str, number: usize, seed: u64) -> Settings {
         let rack = number / self.rack_size.max(1);
         let name = format!("{zone}-w{number:02}");
         Settings {
@@ -109,13 +109,13 @@
     }
 }
 
-/// Reads a fixture of JSON with comments, which came from `path`.
+/// Parses a fixture of JSON with comments; an error names `path` as its source.
 ///
 /// # Errors
 ///
-/// When the text is no such fixture.
+/// When the text is not a valid fixture of type `T`.
 pub fn parse_fixture<T: DeserializeOwned>(path: &Path, text: &str) -> Result<T, PoolError> {
-    parse_to_serde_value(text, &ParseOptions::default()).map_err(|error| PoolError::Faulty {
+    parse_to_serde_value(text, &ParseOptions::default()).map_err(|error| PoolError::Invalid {
         path: path.to_owned(),
         reason: error.to_string(),
     })
--- a/crates/standin/src/platform/set.rs
+++ b/crates/standin/src/platform/stand_ins.rs
@@ -17,24 +17,24 @@
 use crate::store::{self, Store};
 use crate::worker::{self, Worker};
 
-/// Which stand-ins to start, and where.
+/// Which stand-ins to start, at which addresses and with which settings.
 #[derive(Clone, Debug)]
 pub struct Parts {
     /// Address of the control port.
     pub control: SocketAddr,
-    /// Address and setup of the store, if one is wanted.
+    /// Address and settings of the store; `None` starts no store.
     pub store: Option<(SocketAddr, store::Settings)>,
-    /// Address and setup of the list, if one is wanted.
+    /// Address and settings of the worker list; `None` starts no list.
     pub hosts: Option<(SocketAddr, hosts::Settings)>,
-    /// Setup of each worker.
+    /// Settings of each worker.
     pub workers: Vec<worker::Settings>,
-    /// Availability zones whose callers get addresses of their own, so that they
-    /// can be cut off. The list shows each zone its own addresses of the workers.
+    /// Availability zones whose callers get separate addresses, so that they can
+    /// be cut off. The worker list shows each zone its own addresses of the workers.
     pub zones: Vec<String>,
 }
 
 impl Parts {
-    /// Store, list and workers on free loopback ports.
+    /// Store, worker list and workers on free loopback ports.
     pub fn new(workers: Vec<worker::Settings>) -> Self {
         let free = SocketAddr::from(([127, 0, 0, 1], 0));
         Self {
@@ -47,7 +47,7 @@
     }
 }
 
-/// Where the stand-ins are reached.
+/// Addresses of the stand-ins.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Addresses {
@@ -55,46 +55,46 @@
     pub control: SocketAddr,
     /// Store, if there is one.
     pub store: Option<SocketAddr>,
-    /// List of workers, if there is one.
+    /// Worker list, if there is one.
     pub hosts: Option<SocketAddr>,
-    /// Workers as the list shows them.
+    /// Workers as the worker list shows them.
     pub workers: Vec<HostRecord>,
-    /// Addresses for the callers of each availability zone that has its own.
+    /// Addresses for the callers of each availability zone with separate ones.
     #[serde(default)]
     pub zones: BTreeMap<String, ZoneAddresses>,
 }
 
-/// Where the callers of one availability zone reach the platform.
+/// Addresses of the platform for the callers of one availability zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ZoneAddresses {
     /// Store, if there is one.
     pub store: Option<SocketAddr>,
-    /// List of workers, if there is one.
+    /// Worker list, if there is one.
     pub hosts: Option<SocketAddr>,
 }
 
-/// Why a set of stand-ins did not start.
+/// Why the stand-ins did not start.
 #[derive(Debug, Snafu)]
 pub enum PlatformError {
     /// A stand-in did not start.
     #[snafu(display("{part}: {source}"))]
     Start {
-        /// Stand-in.
+        /// Stand-in that did not start.
         part: String,
         /// Cause.
         source: StartError,
     },
 }
 
-/// Running stand-ins with their control port; stop when dropped.
+/// Running stand-ins and their control port; stop when dropped.
 pub struct Platform {
-    set: Arc<Set>,
+    stand_ins: Arc<StandIns>,
     control: Server,
 }
 
 /// Running stand-ins.
-pub(super) struct Set {
+pub(super) struct StandIns {
     pub(super) store: Option<Store>,
     pub(super) hosts: Option<Hosts>,
     pub(super) workers: Vec<Worker>,
@@ -110,7 +110,7 @@
     pub async fn start(parts: Parts) -> Result<Self, PlatformError> {
         let clock: Arc<dyn Clock> = Arc::new(SystemClock::default());
         let zones = &parts.zones;
-        let mut set = Set {
+        let mut stand_ins = StandIns {
             store: None,
             hosts: None,
             workers: start_workers(parts.workers, zones, &clock).await?,
@@ -118,29 +118,33 @@
         };
         if let Some((address, settings)) = parts.store {
             let store = Store::with_clock(address, zones, settings, Arc::clone(&clock)).await;
-            set.store = Some(store.context(StartSnafu { part: "store" })?);
+            stand_ins.store = Some(store.context(StartSnafu { part: "store" })?);
         }
         if let Some((address, settings)) = parts.hosts {
             let hosts = Hosts::with_clock(address, zones, settings, clock).await;
-            set.hosts = Some(hosts.context(StartSnafu { part: "list" })?);
+            stand_ins.hosts = Some(hosts.context(StartSnafu {
+                part: "worker list",
+            })?);
         }
-        set.list_workers();
-        let set = Arc::new(set);
-        let mounted = Arc::clone(&set);
+        stand_ins.list_workers();
+        let stand_ins = Arc::new(stand_ins);
+        let mounted = Arc::clone(&stand_ins);
         let mount = Arc::new(move |rocket| control::mount(rocket, Arc::clone(&mounted)));
         let control = Server::start(parts.control, mount).await;
-        let control = control.context(StartSnafu { part: "control" })?;
-        Ok(Self { set, control })
+        let control = control.context(StartSnafu {
+            part: "control port",
+        })?;
+        Ok(Self { stand_ins, control })
     }
 
-    /// Where the stand-ins are reached.
+    /// Addresses of the stand-ins.
     pub fn addresses(&self) -> Addresses {
         Addresses {
             control: self.control.address(),
-            store: self.set.store.as_ref().map(Store::address),
-            hosts: self.set.hosts.as_ref().map(Hosts::address),
-            workers: self.set.workers.iter().map(Worker::record).collect(),
-            zones: self.set.zone_addresses(),
+            store: self.stand_ins.store.as_ref().map(Store::address),
+            hosts: self.stand_ins.hosts.as_ref().map(Hosts::address),
+            workers: self.stand_ins.workers.iter().map(Worker::record).collect(),
+            zones: self.stand_ins.zone_addresses(),
         }
     }
 
@@ -148,48 +152,55 @@
     ///
     /// # Panics
     ///
-    /// When the set has none.
+    /// When the platform runs without one.
     pub fn store(&self) -> &Store {
-        self.set.store.as_ref().expect("the set has a store")
+        self.stand_ins
+            .store
+            .as_ref()
+            .expect("the platform runs a store")
     }
 
-    /// List of workers.
+    /// Worker list.
     ///
     /// # Panics
     ///
-    /// When the set has none.
+    /// When the platform runs without one.
     pub fn hosts(&self) -> &Hosts {
-        self.set.hosts.as_ref().expect("the set has a list")
+        self.stand_ins
+            .hosts
+            .as_ref()
+            .expect("the platform runs a worker list")
     }
 
     /// All workers.
     pub fn workers(&self) -> &[Worker] {
-        &self.set.workers
+        &self.stand_ins.workers
     }
 
     /// Worker of the given name.
     pub fn worker(&self, name: &str) -> Option<&Worker> {
-        self.set.worker(name)
+        self.stand_ins.worker(name)
     }
 
-    /// Cuts the callers of `zone` off from the platform and all other zones'
-    /// workers, and the other zones' callers off from its workers.
+    /// Simulates a network partition of `zone`: cuts its callers off from the
+    /// platform and from the other zones' workers, and the other zones' callers
+    /// off from its workers.
     pub fn cut_zone(&self, zone: &str) {
-        self.set.cut_zone(zone);
+        self.stand_ins.cut_zone(zone);
     }
 
-    /// Ends all cuts.
+    /// Ends all partitions.
     pub fn mend(&self) {
-        self.set.mend();
+        self.stand_ins.mend();
     }
 
-    /// What every worker did so far.
+    /// Runs and requests of every worker so far.
     pub fn histories(&self) -> Vec<WorkerHistory> {
-        self.set.histories()
+        self.stand_ins.histories()
     }
 }
 
-impl Set {
+impl StandIns {
     pub(super) fn worker(&self, name: &str) -> Option<&Worker> {
         self.workers.iter().find(|worker| worker.name() == name)
     }
@@ -206,8 +217,8 @@
             faults.apply(cut(zone));
         }
         for worker in &self.workers {
-            let from_here = worker.zone() == zone;
-            let cut_off = |caller: &&String| (caller.as_str() == zone) != from_here;
+            let is_inside = worker.zone() == zone;
+            let cut_off = |caller: &&String| (caller.as_str() == zone) != is_inside;
             for caller in self.zones.iter().filter(cut_off) {
                 worker.control_faults().apply(cut(caller));
                 worker.upstream_faults().apply(cut(caller));
@@ -245,7 +256,7 @@
         for worker in &self.workers {
             hosts.show(worker.record());
             for zone in &self.zones {
-                hosts.show_for(zone, &worker.record_for(Some(zone)));
+                hosts.set_view(zone, &worker.record_for(Some(zone)));
             }
         }
     }
--- a/crates/standin/src/server/doors.rs
+++ b/crates/standin/src/server/endpoints.rs
@@ -1,5 +1,5 @@
-//! One service behind several addresses, so that it can tell its callers'
-//! availability zones apart on a loopback network.
+//! Several addresses for one service: on a loopback network, the address that a
+//! caller uses identifies its availability zone.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,17 +9,17 @@
 use super::{Mount, Server, StartError};
 use crate::fault::Faults;
 
-/// Mounts routes, state and fairings for the callers of a zone, or for all.
+/// Mounts routes, state and fairings for the callers of a zone; `None` for the shared address.
 pub type ZoneMount = dyn Fn(Rocket<Build>, Option<&str>) -> Rocket<Build> + Send + Sync;
 
 /// Addresses of one service.
-pub struct Doors {
-    common: Server,
+pub struct Endpoints {
+    shared: Server,
     zones: Vec<(String, Server)>,
 }
 
-impl Doors {
-    /// Opens `address` for all callers, and a further port for each of `zones`.
+impl Endpoints {
+    /// Opens `address` for all callers, and another port for each of `zones`.
     ///
     /// # Errors
     ///
@@ -30,34 +30,34 @@
         faults: &Faults,
         mount: Arc<ZoneMount>,
     ) -> Result<Self, StartError> {
-        let common = open(address, None, faults, &mount).await?;
-        let mut doors = Vec::new();
+        let shared = open(address, None, faults, &mount).await?;
+        let mut zone_servers = Vec::new();
         for zone in zones {
             let free = SocketAddr::new(address.ip(), 0);
             let server = open(free, Some(zone), faults, &mount).await?;
-            doors.push((zone.clone(), server));
+            zone_servers.push((zone.clone(), server));
         }
         Ok(Self {
-            common,
-            zones: doors,
+            shared,
+            zones: zone_servers,
         })
     }
 
-    /// Address for the callers of `zone`, the common one if it has none of its own.
+    /// Address for the callers of `zone`; the shared address for a zone without its own.
     pub fn address(&self, zone: Option<&str>) -> SocketAddr {
-        let own = |(name, _): &&(String, Server)| Some(name.as_str()) == zone;
-        let server = self.zones.iter().find(own);
-        server.map_or(&self.common, |(_, server)| server).address()
+        let is_own = |(name, _): &&(String, Server)| Some(name.as_str()) == zone;
+        let server = self.zones.iter().find(is_own);
+        server.map_or(&self.shared, |(_, server)| server).address()
     }
 
-    /// Closes all addresses and cuts all connections.
+    /// Closes all ports and connections.
     pub fn stop(&self) {
         for server in self.servers() {
             server.stop();
         }
     }
 
-    /// Opens all addresses again.
+    /// Opens all ports again.
     ///
     /// # Errors
     ///
@@ -71,7 +71,7 @@
 
     fn servers(&self) -> impl Iterator<Item = &Server> {
         let zones = self.zones.iter().map(|(_, server)| server);
-        std::iter::once(&self.common).chain(zones)
+        std::iter::once(&self.shared).chain(zones)
     }
 }
 
@@ -83,10 +83,10 @@
 ) -> Result<Server, StartError> {
     let faults = faults.clone();
     let zone = zone.map(str::to_owned);
-    let inner = Arc::clone(mount);
+    let zone_mount = Arc::clone(mount);
     let mount: Arc<Mount> = Arc::new(move |rocket| {
-        let door = faults.door(zone.as_deref());
-        inner(rocket, zone.as_deref()).attach(door)
+        let fairing = faults.fairing(zone.as_deref());
+        zone_mount(rocket, zone.as_deref()).attach(fairing)
     });
     Server::start(address, mount).await
 }
--- a/crates/standin/src/server/mod.rs
+++ b/crates/standin/src/server/mod.rs
@@ -1,7 +1,7 @@
 //! HTTP servers that can be stopped and started again on the same port.
 
-mod doors;
-mod quiet;
+mod endpoints;
+mod logger;
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,9 +12,9 @@
 use snafu::{OptionExt, Snafu};
 use tokio::sync::oneshot;
 
-pub use doors::{Doors, ZoneMount};
+pub use endpoints::{Endpoints, ZoneMount};
 
-/// Time that an unused connection is kept, in seconds.
+/// Keep-alive timeout of an idle connection, in seconds.
 const KEEP_ALIVE_S: u32 = 600;
 
 /// Mounts routes, state and fairings.
@@ -22,7 +22,7 @@
 
 /// Why a server did not start.
 #[derive(Debug, Snafu)]
-#[snafu(display("no server could be started at {address}"))]
+#[snafu(display("cannot start a server at {address}"))]
 pub struct StartError {
     address: SocketAddr,
 }
@@ -35,7 +35,7 @@
 }
 
 impl Server {
-    /// Starts a server at `address`; port 0 picks a free port, which is kept.
+    /// Starts a server at `address`; port 0 picks a free port, which a restart reuses.
     ///
     /// # Errors
     ///
@@ -54,9 +54,9 @@
         self.address
     }
 
-    /// Closes the port and cuts all connections.
+    /// Closes the port and all connections.
     pub fn stop(&self) {
-        let shutdown = self.slot().take();
+        let shutdown = self.running().take();
         if let Some(shutdown) = shutdown {
             shutdown.notify();
         }
@@ -68,15 +68,15 @@
     ///
     /// When the address cannot be bound.
     pub async fn resume(&self) -> Result<(), StartError> {
-        if self.slot().is_some() {
+        if self.running().is_some() {
             return Ok(());
         }
         let (_, shutdown) = launch(self.address, &*self.mount).await?;
-        *self.slot() = Some(shutdown);
+        *self.running() = Some(shutdown);
         Ok(())
     }
 
-    fn slot(&self) -> std::sync::MutexGuard<'_, Option<Shutdown>> {
+    fn running(&self) -> std::sync::MutexGuard<'_, Option<Shutdown>> {
         self.running.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -88,13 +88,13 @@
 }
 
 async fn launch(address: SocketAddr, mount: &Mount) -> Result<(SocketAddr, Shutdown), StartError> {
-    quiet::install();
+    logger::install();
     let (report, ready) = oneshot::channel();
     let report = Mutex::new(Some(report));
     let liftoff = AdHoc::on_liftoff("address", move |rocket| {
         let port = rocket.config().port;
-        if let Some(report) = report.lock().ok().and_then(|mut slot| slot.take()) {
-            let _gone = report.send(port);
+        if let Some(report) = report.lock().ok().and_then(|mut report| report.take()) {
+            let _sent = report.send(port);
         }
         Box::pin(async {})
     });
@@ -103,8 +103,8 @@
     let shutdown = rocket.shutdown();
     tokio::spawn(async move {
         if let Err(error) = rocket.launch().await {
-            // Handlers that never answer outlive a forced shutdown.
-            log::debug!("server at {address}: {}", error.kind());
+            // Expected after a forced shutdown, since handlers that never answer outlive it.
+            log::debug!("server at {address} ended with an error: {}", error.kind());
         }
     });
     let port = ready.await.ok().context(StartSnafu { address })?;
--- a/crates/standin/src/store/calls.rs
+++ b/crates/standin/src/store/calls.rs
@@ -1,4 +1,4 @@
-//! Counting and limiting of calls.
+//! Call counters and rate limits.
 
 use serde::{Deserialize, Serialize};
 use verbenahitch::domain::{Millis, Monotonic};
@@ -19,7 +19,7 @@
     Session,
 }
 
-/// Calls so far.
+/// Number of calls so far, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Calls {
@@ -37,13 +37,13 @@
     pub limited: u64,
 }
 
-/// Calls that the service takes a second.
+/// Rate limits of the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Limits {
-    /// Reads and watches a second; zero for no limit.
+    /// Reads and watches per second; zero for no limit.
     pub reads: u32,
-    /// All other calls a second; zero for no limit.
+    /// All other calls per second; zero for no limit.
     pub writes: u32,
 }
 
@@ -57,7 +57,7 @@
 }
 
 impl Calls {
-    /// All calls that were taken.
+    /// Number of accepted calls.
     pub fn total(&self) -> u64 {
         self.reads + self.watches + self.writes + self.txns + self.sessions
     }
@@ -74,23 +74,24 @@
     }
 }
 
-/// Token bucket that holds one second's worth of calls.
+/// Token bucket with a burst of one second's worth of calls.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Bucket {
+pub(super) struct TokenBucket {
+    /// Used tokens in thousandths; a call takes one token.
     used_milli: u64,
-    since: Monotonic,
+    updated: Monotonic,
 }
 
-impl Bucket {
-    /// Takes one call out of `rate` a second; says whether there was one.
+impl TokenBucket {
+    /// Takes one token at a limit of `rate` calls per second; returns whether there was one.
     pub(super) fn take(&mut self, rate: u32, now: Monotonic) -> bool {
         let rate = u64::from(rate);
         if rate == 0 {
             return true;
         }
-        let elapsed: Millis = now.since(self.since);
+        let elapsed: Millis = now.since(self.updated);
         self.used_milli = self.used_milli.saturating_sub(elapsed * rate);
-        self.since = now;
+        self.updated = now;
         if self.used_milli + 1_000 > rate * 1_000 {
             return false;
         }
--- a/crates/standin/src/store/handle.rs
+++ b/crates/standin/src/store/handle.rs
@@ -9,24 +9,24 @@
 use verbenahitch::domain::{Millis, Monotonic};
 use verbenahitch::port::{Clock, SystemClock};
 
-use super::calls::{Bucket, CallKind, Calls, Limits};
+use super::calls::{CallKind, Calls, Limits, TokenBucket};
 use super::route;
 use super::state::State;
 use crate::fault::Faults;
-use crate::server::{Doors, StartError};
+use crate::server::{Endpoints, StartError};
 
-/// Time between two looks for lapsed sessions, in milliseconds.
+/// Interval between checks for lapsed sessions, in milliseconds.
 const EXPIRY_INTERVAL_MS: Millis = 20;
 
-/// How a store is set up.
+/// Settings of a store.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Settings {
-    /// Calls that it takes a second.
+    /// Rate limits.
     pub limits: Limits,
-    /// Largest value, in bytes.
+    /// Maximum size of a value, in bytes.
     pub value_limit: usize,
-    /// Most operations of a transaction.
+    /// Maximum number of operations in a transaction.
     pub txn_limit: usize,
 }
 
@@ -43,14 +43,15 @@
 /// A running store; stops when dropped.
 pub struct Store {
     inner: Arc<Inner>,
-    doors: Doors,
+    endpoints: Endpoints,
     faults: Faults,
 }
 
-/// State behind the routes.
+/// State shared with the routes.
 pub(super) struct Inner {
     pub(super) settings: Settings,
     data: Mutex<Data>,
+    /// Index of the newest change, for waiting watches.
     changed: watch::Sender<u64>,
     clock: Arc<dyn Clock>,
 }
@@ -58,17 +59,17 @@
 struct Data {
     state: State,
     calls: Calls,
-    reads: Bucket,
-    writes: Bucket,
+    reads: TokenBucket,
+    writes: TokenBucket,
     limits: Limits,
     down_since: Option<Monotonic>,
-    /// Time that the store was down, by which its sessions' clock is behind.
+    /// Duration of past downtimes, which the sessions' clock leaves out.
     down_ms: Millis,
 }
 
-/// Why a call was not taken.
+/// Why a call was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum NotTaken {
+pub(super) enum Rejection {
     Down,
     Limited,
 }
@@ -83,8 +84,8 @@
         Self::with_clock(address, &[], settings, Arc::new(SystemClock::default())).await
     }
 
-    /// Starts a store whose sessions lapse by `clock`, with a further address
-    /// for each of `zones`.
+    /// Starts a store whose sessions are timed by `clock`, with a separate
+    /// address for each of `zones`.
     ///
     /// # Errors
     ///
@@ -100,23 +101,23 @@
         let mounted = Arc::clone(&inner);
         let mount =
             Arc::new(move |rocket, _: Option<&str>| route::mount(rocket, Arc::clone(&mounted)));
-        let doors = Doors::start(address, zones, &faults, mount).await?;
-        tokio::spawn(expire(Arc::downgrade(&inner)));
+        let endpoints = Endpoints::start(address, zones, &faults, mount).await?;
+        tokio::spawn(expire_sessions(Arc::downgrade(&inner)));
         Ok(Self {
             inner,
-            doors,
+            endpoints,
             faults,
         })
     }
 
     /// Address that all callers may use.
     pub fn address(&self) -> SocketAddr {
-        self.doors.address(None)
+        self.endpoints.address(None)
     }
 
     /// Address for the callers of `zone`.
     pub fn address_for(&self, zone: &str) -> SocketAddr {
-        self.doors.address(Some(zone))
+        self.endpoints.address(Some(zone))
     }
 
     /// Fault controls.
@@ -124,29 +125,29 @@
         &self.faults
     }
 
-    /// Closes all addresses and stops the sessions' clock.
+    /// Closes all ports and pauses the sessions' clock.
     pub fn stop(&self) {
         self.set_down(true);
-        self.doors.stop();
+        self.endpoints.stop();
     }
 
-    /// Opens all addresses again.
+    /// Opens all ports again and resumes the sessions' clock.
     ///
     /// # Errors
     ///
     /// When an address cannot be bound.
     pub async fn resume(&self) -> Result<(), StartError> {
-        self.doors.resume().await?;
+        self.endpoints.resume().await?;
         self.set_down(false);
         Ok(())
     }
 
-    /// Answers every call with an error and stops the sessions' clock, or ends that.
+    /// Sets whether every call is answered with an error; the sessions' clock pauses meanwhile.
     pub fn set_down(&self, down: bool) {
         self.inner.set_down(down);
     }
 
-    /// Calls so far.
+    /// Number of calls so far, by kind.
     pub fn calls(&self) -> Calls {
         self.inner.data().calls
     }
@@ -156,16 +157,16 @@
         self.inner.data().limits = limits;
     }
 
-    /// Value of a key, past all faults and counters.
+    /// Value of a key, bypassing fault injection and counters.
     pub fn peek(&self, key: &str) -> Option<Vec<u8>> {
         self.inner.data().state.key(key).map(|kv| kv.value.clone())
     }
 
-    /// Keys under a prefix, past all faults and counters.
+    /// Keys under a prefix, bypassing fault injection and counters.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let data = self.inner.data();
         data.state
-            .under(prefix)
+            .with_prefix(prefix)
             .map(|(key, _)| key.clone())
             .collect()
     }
@@ -176,8 +177,8 @@
         let data = Data {
             state: State::default(),
             calls: Calls::default(),
-            reads: Bucket::default(),
-            writes: Bucket::default(),
+            reads: TokenBucket::default(),
+            writes: TokenBucket::default(),
             limits: settings.limits,
             down_since: None,
             down_ms: 0,
@@ -190,28 +191,28 @@
         }
     }
 
-    /// Counts a call against its rate.
-    pub(super) fn admit(&self, kind: CallKind) -> Result<(), NotTaken> {
+    /// Counts a call against the limits of its kind; rejects it if it exceeds them.
+    pub(super) fn admit(&self, kind: CallKind) -> Result<(), Rejection> {
         let now = self.clock.now();
         let mut data = self.data();
         if data.down_since.is_some() {
-            return Err(NotTaken::Down);
+            return Err(Rejection::Down);
         }
         let limits = data.limits;
-        let taken = match kind {
+        let is_admitted = match kind {
             CallKind::Read | CallKind::Watch => data.reads.take(limits.reads, now),
             _ => data.writes.take(limits.writes, now),
         };
-        if !taken {
+        if !is_admitted {
             data.calls.limited += 1;
-            return Err(NotTaken::Limited);
+            return Err(Rejection::Limited);
         }
         data.calls.count(kind);
         Ok(())
     }
 
-    /// Runs `act` on the state as of now and wakes the watches.
-    pub(super) fn with<T>(&self, act: impl FnOnce(&mut State, Monotonic) -> T) -> T {
+    /// Runs `act` on the state without its lapsed sessions, and wakes the watches after a change.
+    pub(super) fn with_state<T>(&self, act: impl FnOnce(&mut State, Monotonic) -> T) -> T {
         let now = self.clock.now();
         let mut data = self.data();
         let now = data.session_time(now);
@@ -219,10 +220,10 @@
         let result = act(&mut data.state, now);
         let index = data.state.index();
         drop(data);
-        self.changed.send_if_modified(|held| {
-            let newer = index > *held;
-            *held = index.max(*held);
-            newer
+        self.changed.send_if_modified(|newest| {
+            let is_newer = index > *newest;
+            *newest = index.max(*newest);
+            is_newer
         });
         result
     }
@@ -252,13 +253,13 @@
     }
 }
 
-async fn expire(inner: Weak<Inner>) {
+async fn expire_sessions(inner: Weak<Inner>) {
     let mut interval = tokio::time::interval(Duration::from_millis(EXPIRY_INTERVAL_MS));
     loop {
         interval.tick().await;
         let Some(inner) = inner.upgrade() else {
             return;
         };
-        inner.with(|_, _| ());
+        inner.with_state(|_, _| ());
     }
 }
--- a/crates/standin/src/store/mod.rs
+++ b/crates/standin/src/store/mod.rs
@@ -1,8 +1,8 @@
-//! Stand-in of the platform's key-value service.
+//! Stand-in for the platform's key-value service.
 //!
-//! It keeps to the part of Consul's published HTTP interface that
-//! `verbenahitch::adapter::Store` uses, and counts every call, a waiting watch
-//! as one.
+//! It implements the part of Consul's published HTTP interface that
+//! `verbenahitch::adapter::Store` uses, and counts every call; a watch counts
+//! once, however long it waits.
 
 mod calls;
 mod handle;
--- a/crates/standin/src/store/route.rs
+++ b/crates/standin/src/store/route.rs
@@ -14,14 +14,14 @@
 use verbenahitch::domain::Millis;
 
 use super::calls::CallKind;
-use super::handle::{Inner, NotTaken};
+use super::handle::{Inner, Rejection};
 use super::state::Kv;
 use super::txn::{self, WireOp};
 
-/// Longest wait of a watch, in milliseconds.
-const WAIT_LIMIT_MS: Millis = 600_000;
+/// Maximum wait of a watch, in milliseconds.
+const MAX_WAIT_MS: Millis = 600_000;
 
-/// Wait of a watch that names none, in milliseconds.
+/// Wait of a watch without a valid `wait` parameter, in milliseconds.
 const DEFAULT_WAIT_MS: Millis = 300_000;
 
 pub(super) fn mount(rocket: Rocket<Build>, inner: Arc<Inner>) -> Rocket<Build> {
@@ -37,7 +37,7 @@
     rocket.manage(inner).mount("/v1", routes)
 }
 
-/// Answer with a status and a body.
+/// Answer with a status, an index and a body.
 struct Reply {
     status: Status,
     index: Option<u64>,
@@ -62,11 +62,11 @@
     }
 }
 
-impl From<NotTaken> for Reply {
-    fn from(reason: NotTaken) -> Self {
+impl From<Rejection> for Reply {
+    fn from(reason: Rejection) -> Self {
         match reason {
-            NotTaken::Down => Self::text(Status::InternalServerError, "No cluster leader"),
-            NotTaken::Limited => Self::text(Status::TooManyRequests, "rate limit exceeded"),
+            Rejection::Down => Self::text(Status::InternalServerError, "No cluster leader"),
+            Rejection::Limited => Self::text(Status::TooManyRequests, "rate limit exceeded"),
         }
     }
 }
@@ -85,7 +85,7 @@
     }
 }
 
-/// Key of the path, with a slash at its end if the path has one.
+/// Key from the request path, including a trailing slash.
 struct Key(String);
 
 #[rocket::async_trait]
@@ -119,9 +119,9 @@
             key: key.to_owned(),
             value: Some(BASE64.encode(&kv.value)),
             flags: 0,
-            create_index: kv.create,
-            modify_index: kv.modify,
-            lock_index: kv.lock,
+            create_index: kv.create_index,
+            modify_index: kv.modify_index,
+            lock_index: kv.lock_index,
             session: kv.session.clone(),
         }
     }
@@ -157,31 +157,32 @@
     if let Err(reason) = store.admit(kind) {
         return reason.into();
     }
-    let wait_ms = wait.and_then(millis).unwrap_or(DEFAULT_WAIT_MS);
-    let limit = Duration::from_millis(wait_ms.min(WAIT_LIMIT_MS));
-    let tree = recurse.is_some();
+    let wait_ms = wait.and_then(parse_millis).unwrap_or(DEFAULT_WAIT_MS);
+    let limit = Duration::from_millis(wait_ms.min(MAX_WAIT_MS));
+    let is_recursive = recurse.is_some();
     if after > 0 {
-        let _elapsed = tokio::time::timeout(limit, changed(store, &key.0, tree, after)).await;
+        let _elapsed =
+            tokio::time::timeout(limit, wait_for_change(store, &key.0, is_recursive, after)).await;
     }
-    entries(store, &key.0, tree)
+    entries(store, &key.0, is_recursive)
 }
 
-async fn changed(store: &Inner, key: &str, tree: bool, after: u64) {
-    let mut news = store.subscribe();
+async fn wait_for_change(store: &Inner, key: &str, is_recursive: bool, after: u64) {
+    let mut changes = store.subscribe();
     loop {
-        news.borrow_and_update();
-        if newest(store, key, tree) > after {
+        changes.borrow_and_update();
+        if newest_index(store, key, is_recursive) > after {
             return;
         }
-        if news.changed().await.is_err() {
+        if changes.changed().await.is_err() {
             return;
         }
     }
 }
 
-fn newest(store: &Inner, key: &str, tree: bool) -> u64 {
-    store.with(|state, _| {
-        if tree {
+fn newest_index(store: &Inner, key: &str, is_recursive: bool) -> u64 {
+    store.with_state(|state, _| {
+        if is_recursive {
             state.prefix_index(key)
         } else {
             state.key_index(key)
@@ -189,10 +190,10 @@
     })
 }
 
-fn entries(store: &Inner, key: &str, tree: bool) -> Reply {
-    let (index, entries) = store.with(|state, _| {
-        if tree {
-            let entries = state.under(key);
+fn entries(store: &Inner, key: &str, is_recursive: bool) -> Reply {
+    let (index, entries) = store.with_state(|state, _| {
+        if is_recursive {
+            let entries = state.with_prefix(key);
             let entries: Vec<WireEntry> =
                 entries.map(|(key, kv)| WireEntry::new(key, kv)).collect();
             return (state.prefix_index(key), entries);
@@ -223,23 +224,23 @@
     let value = match data.open(limit.bytes()).into_bytes().await {
         Ok(value) if value.is_complete() => value.into_inner(),
         Ok(_) => return too_large(limit),
-        // A body that breaks off is no write.
+        // A truncated body must not be written.
         Err(_) => return Reply::text(Status::BadRequest, "incomplete body"),
     };
     if let Err(reason) = store.admit(CallKind::Write) {
         return reason.into();
     }
-    let result = store.with(|state, _| {
+    let result = store.with_state(|state, _| {
         if let Some(index) = cas {
-            let current = state.is_at(&key, index);
-            if current {
+            let is_current = state.matches_index(&key, index);
+            if is_current {
                 state.set(&key, value);
             }
-            return Some(current);
+            return Some(is_current);
         }
         if let Some(session) = acquire {
-            let known = state.has_session(session);
-            return known.then(|| state.acquire(&key, value, session));
+            let exists = state.has_session(session);
+            return exists.then(|| state.acquire(&key, value, session));
         }
         if let Some(session) = release {
             return Some(state.release(&key, value, session));
@@ -259,16 +260,16 @@
         return reason.into();
     }
     let key = key.0;
-    let done = store.with(|state, _| {
+    let done = store.with_state(|state, _| {
         if recurse.is_some() {
             state.delete_tree(&key);
             return true;
         }
-        let current = cas.is_none_or(|index| state.is_at(&key, index));
-        if current {
+        let is_current = cas.is_none_or(|index| state.matches_index(&key, index));
+        if is_current {
             state.delete(&key);
         }
-        current
+        is_current
     });
     Reply::json(Status::Ok, &done)
 }
@@ -299,7 +300,7 @@
     if let Err(reason) = store.admit(CallKind::Txn) {
         return reason.into();
     }
-    let answer = store.with(|state, _| txn::apply(state, &ops));
+    let answer = store.with_state(|state, _| txn::apply(state, &ops));
     let status = if answer.is_committed() {
         Status::Ok
     } else {
@@ -313,8 +314,8 @@
     if let Err(reason) = store.admit(CallKind::Session) {
         return reason.into();
     }
-    let ttl_ms = millis(&body.ttl).unwrap_or(0);
-    let id = store.with(|state, now| state.create_session(ttl_ms, now));
+    let ttl_ms = parse_millis(&body.ttl).unwrap_or(0);
+    let id = store.with_state(|state, now| state.create_session(ttl_ms, now));
     Reply::json(Status::Ok, &WireSessionId { id })
 }
 
@@ -323,7 +324,7 @@
     if let Err(reason) = store.admit(CallKind::Session) {
         return reason.into();
     }
-    if !store.with(|state, now| state.renew_session(id, now)) {
+    if !store.with_state(|state, now| state.renew_session(id, now)) {
         return Reply::text(Status::NotFound, "session not found");
     }
     let id = id.to_owned();
@@ -335,7 +336,7 @@
     if let Err(reason) = store.admit(CallKind::Session) {
         return reason.into();
     }
-    store.with(|state, _| state.end_session(id));
+    store.with_state(|state, _| state.end_session(id));
     Reply::json(Status::Ok, &true)
 }
 
@@ -344,8 +345,8 @@
     Reply::text(Status::PayloadTooLarge, &reason)
 }
 
-/// Milliseconds of a duration such as `5000ms`, `10s` or `5m`.
-fn millis(text: &str) -> Option<Millis> {
+/// Parses a duration such as `5000ms`, `10s` or `5m` into milliseconds.
+fn parse_millis(text: &str) -> Option<Millis> {
     let (number, factor) = if let Some(number) = text.strip_suffix("ms") {
         (number, 1)
     } else if let Some(number) = text.strip_suffix('s') {
--- a/crates/standin/src/store/session.rs
+++ b/crates/standin/src/store/session.rs
@@ -1,4 +1,4 @@
-//! Sessions: leases that unlock their keys when they lapse.
+//! Sessions: leases that release the locks on their keys when they lapse.
 
 use verbenahitch::domain::{Millis, Monotonic};
 
@@ -10,7 +10,7 @@
 }
 
 impl Session {
-    /// Creates a session; one with a zero TTL lives until it is destroyed.
+    /// Creates a session; with a zero TTL it lasts until it is destroyed.
     pub(super) fn new(ttl_ms: Millis, now: Monotonic) -> Self {
         let mut session = Self {
             ttl_ms,
--- a/crates/standin/src/store/state.rs
+++ b/crates/standin/src/store/state.rs
@@ -7,31 +7,34 @@
 
 use super::session::Session;
 
-/// One key.
+/// Value, indexes and lock holder of one key.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Kv {
     pub(super) value: Vec<u8>,
-    pub(super) create: u64,
-    pub(super) modify: u64,
-    pub(super) lock: u64,
+    pub(super) create_index: u64,
+    pub(super) modify_index: u64,
+    pub(super) lock_index: u64,
+    /// Session that holds the lock.
     pub(super) session: Option<String>,
 }
 
-/// Everything that the store holds.
+/// All keys and sessions of the store.
 #[derive(Debug)]
 pub(super) struct State {
+    /// Index of the newest change.
     index: u64,
-    /// Whether further changes belong to the one that brought the index.
-    joined: bool,
+    /// Whether changes share the current index instead of advancing it.
+    is_grouped: bool,
     keys: BTreeMap<String, Kv>,
     /// Index of the deletion of each deleted key, so that watches see deletions.
     deleted: BTreeMap<String, u64>,
     sessions: HashMap<String, Session>,
-    created: u64,
+    /// Number of sessions created so far, from which session IDs are derived.
+    created_sessions: u64,
 }
 
-/// What a key was before a transaction touched it.
-pub(super) struct Saved {
+/// State of a key before a transaction, for its rollback.
+pub(super) struct KeySnapshot {
     key: String,
     kv: Option<Kv>,
     deleted: Option<u64>,
@@ -41,11 +44,11 @@
     fn default() -> Self {
         Self {
             index: 1,
-            joined: false,
+            is_grouped: false,
             keys: BTreeMap::new(),
             deleted: BTreeMap::new(),
             sessions: HashMap::default(),
-            created: 0,
+            created_sessions: 0,
         }
     }
 }
@@ -59,7 +62,7 @@
         self.keys.get(key)
     }
 
-    pub(super) fn under<'a>(
+    pub(super) fn with_prefix<'a>(
         &'a self,
         prefix: &'a str,
     ) -> impl Iterator<Item = (&'a String, &'a Kv)> {
@@ -70,14 +73,14 @@
 
     /// Index of the newest change of a key.
     pub(super) fn key_index(&self, key: &str) -> u64 {
-        let present = self.keys.get(key).map(|kv| kv.modify);
+        let present = self.keys.get(key).map(|kv| kv.modify_index);
         let absent = || self.deleted.get(key).copied();
         present.or_else(absent).unwrap_or(1)
     }
 
     /// Index of the newest change under a prefix.
     pub(super) fn prefix_index(&self, prefix: &str) -> u64 {
-        let present = self.under(prefix).map(|(_, kv)| kv.modify);
+        let present = self.with_prefix(prefix).map(|(_, kv)| kv.modify_index);
         let absent = self
             .deleted
             .range(prefix.to_owned()..)
@@ -87,19 +90,19 @@
     }
 
     pub(super) fn set(&mut self, key: &str, value: Vec<u8>) {
-        let index = self.next();
+        let index = self.next_index();
         self.deleted.remove(key);
         let kv = self.keys.entry(key.to_owned()).or_default();
-        if kv.create == 0 {
-            kv.create = index;
+        if kv.create_index == 0 {
+            kv.create_index = index;
         }
-        kv.modify = index;
+        kv.modify_index = index;
         kv.value = value;
     }
 
-    /// Whether the newest change of `key` is `index`; zero stands for an absent key.
-    pub(super) fn is_at(&self, key: &str, index: u64) -> bool {
-        self.keys.get(key).map_or(0, |kv| kv.modify) == index
+    /// Whether the newest change of `key` has `index`; zero stands for an absent key.
+    pub(super) fn matches_index(&self, key: &str, index: u64) -> bool {
+        self.keys.get(key).map_or(0, |kv| kv.modify_index) == index
     }
 
     pub(super) fn acquire(&mut self, key: &str, value: Vec<u8>, session: &str) -> bool {
@@ -107,17 +110,17 @@
         if holder.is_some_and(|holder| holder != session) {
             return false;
         }
-        let fresh = holder.is_none();
+        let is_new_holder = holder.is_none();
         self.set(key, value);
         if let Some(kv) = self.keys.get_mut(key) {
-            kv.lock += u64::from(fresh);
+            kv.lock_index += u64::from(is_new_holder);
             kv.session = Some(session.to_owned());
         }
         true
     }
 
     pub(super) fn release(&mut self, key: &str, value: Vec<u8>, session: &str) -> bool {
-        if !self.is_held(key, session) {
+        if !self.is_held_by(key, session) {
             return false;
         }
         self.set(key, value);
@@ -127,21 +130,24 @@
         true
     }
 
-    pub(super) fn is_held(&self, key: &str, session: &str) -> bool {
+    pub(super) fn is_held_by(&self, key: &str, session: &str) -> bool {
         let holder = self.keys.get(key).and_then(|kv| kv.session.as_deref());
         holder == Some(session)
     }
 
     pub(super) fn delete(&mut self, key: &str) {
         if self.keys.remove(key).is_some() {
-            let index = self.next();
+            let index = self.next_index();
             self.deleted.insert(key.to_owned(), index);
         }
     }
 
     pub(super) fn delete_tree(&mut self, prefix: &str) {
-        let keys: Vec<String> = self.under(prefix).map(|(key, _)| key.clone()).collect();
-        self.join(|state| {
+        let keys: Vec<String> = self
+            .with_prefix(prefix)
+            .map(|(key, _)| key.clone())
+            .collect();
+        self.group(|state| {
             for key in keys {
                 state.delete(&key);
             }
@@ -149,8 +155,8 @@
     }
 
     pub(super) fn create_session(&mut self, ttl_ms: Millis, now: Monotonic) -> String {
-        self.created += 1;
-        let id = format!("00000000-0000-4000-8000-{:012x}", self.created);
+        self.created_sessions += 1;
+        let id = format!("00000000-0000-4000-8000-{:012x}", self.created_sessions);
         self.sessions.insert(id.clone(), Session::new(ttl_ms, now));
         id
     }
@@ -168,14 +174,14 @@
         if self.sessions.remove(id).is_none() {
             return;
         }
-        let held = |kv: &Kv| kv.session.as_deref() == Some(id);
-        let keys = self.keys.iter().filter(|(_, kv)| held(kv));
+        let is_held = |kv: &Kv| kv.session.as_deref() == Some(id);
+        let keys = self.keys.iter().filter(|(_, kv)| is_held(kv));
         let keys: Vec<String> = keys.map(|(key, _)| key.clone()).collect();
-        let index = self.next();
+        let index = self.next_index();
         for key in keys {
             if let Some(kv) = self.keys.get_mut(&key) {
                 kv.session = None;
-                kv.modify = index;
+                kv.modify_index = index;
             }
         }
     }
@@ -190,24 +196,24 @@
     }
 
     /// Makes several changes under one index.
-    pub(super) fn join<T>(&mut self, changes: impl FnOnce(&mut Self) -> T) -> T {
-        self.next();
-        self.joined = true;
+    pub(super) fn group<T>(&mut self, changes: impl FnOnce(&mut Self) -> T) -> T {
+        self.next_index();
+        self.is_grouped = true;
         let result = changes(self);
-        self.joined = false;
+        self.is_grouped = false;
         result
     }
 
-    pub(super) fn save(&self, key: &str) -> Saved {
-        Saved {
+    pub(super) fn snapshot(&self, key: &str) -> KeySnapshot {
+        KeySnapshot {
             key: key.to_owned(),
             kv: self.keys.get(key).cloned(),
             deleted: self.deleted.get(key).copied(),
         }
     }
 
-    pub(super) fn restore(&mut self, saved: Saved) {
-        let Saved { key, kv, deleted } = saved;
+    pub(super) fn restore(&mut self, snapshot: KeySnapshot) {
+        let KeySnapshot { key, kv, deleted } = snapshot;
         self.keys.remove(&key);
         self.deleted.remove(&key);
         if let Some(index) = deleted {
@@ -218,12 +224,12 @@
         }
     }
 
-    pub(super) fn rewind(&mut self, index: u64) {
+    pub(super) fn reset_index(&mut self, index: u64) {
         self.index = index;
     }
 
-    fn next(&mut self) -> u64 {
-        self.index += u64::from(!self.joined);
+    fn next_index(&mut self) -> u64 {
+        self.index += u64::from(!self.is_grouped);
         self.index
     }
 }
--- a/crates/standin/src/store/txn.rs
+++ b/crates/standin/src/store/txn.rs
@@ -1,4 +1,4 @@
-//! Transactions: all operations take effect, or none.
+//! Transactions, which apply all of their operations or none.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD as BASE64;
@@ -35,7 +35,7 @@
     CheckNotExists,
 }
 
-/// Answer on the wire.
+/// Answer to a transaction on the wire.
 #[derive(Debug, Default, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct WireTxn {
@@ -70,7 +70,7 @@
 }
 
 impl WireOp {
-    /// Size of the value on the wire, in bytes.
+    /// Approximate size of the decoded value, in bytes.
     pub(super) fn value_len(&self) -> usize {
         self.kv
             .value
@@ -81,12 +81,12 @@
 
 /// Applies `ops` to `state` under one index, or none of them.
 pub(super) fn apply(state: &mut State, ops: &[WireOp]) -> WireTxn {
-    let before = state.index();
+    let index_before = state.index();
     let mut undo = Vec::new();
-    let outcomes: Vec<_> = state.join(|state| {
+    let outcomes: Vec<_> = state.group(|state| {
         let each = ops.iter().map(|op| {
-            undo.push(state.save(&op.kv.key));
-            step(state, &op.kv)
+            undo.push(state.snapshot(&op.kv.key));
+            apply_op(state, &op.kv)
         });
         each.collect()
     });
@@ -99,29 +99,29 @@
     }
     if !answer.is_committed() {
         answer.results.clear();
-        for saved in undo.into_iter().rev() {
-            state.restore(saved);
+        for snapshot in undo.into_iter().rev() {
+            state.restore(snapshot);
         }
-        state.rewind(before);
+        state.reset_index(index_before);
     }
     answer
 }
 
-fn step(state: &mut State, op: &WireKv) -> Result<Option<WireModified>, String> {
+fn apply_op(state: &mut State, op: &WireKv) -> Result<Option<WireModified>, String> {
     let key = &op.key;
     match op.verb {
-        Verb::Set => state.set(key, value(op)?),
+        Verb::Set => state.set(key, decode_value(op)?),
         Verb::Cas => {
-            if !state.is_at(key, op.index) {
+            if !state.matches_index(key, op.index) {
                 return Err(format!("failed to set key {key:?}, index is stale"));
             }
-            state.set(key, value(op)?);
+            state.set(key, decode_value(op)?);
         }
         Verb::Delete => {
             state.delete(key);
             return Ok(None);
         }
-        Verb::CheckSession if state.is_held(key, &op.session) => {}
+        Verb::CheckSession if state.is_held_by(key, &op.session) => {}
         Verb::CheckSession => {
             return Err(format!("failed session check for key {key:?}"));
         }
@@ -134,7 +134,7 @@
     }))
 }
 
-fn value(op: &WireKv) -> Result<Vec<u8>, String> {
+fn decode_value(op: &WireKv) -> Result<Vec<u8>, String> {
     let text = op.value.as_deref().unwrap_or_default();
     BASE64.decode(text).map_err(|error| error.to_string())
 }
--- a/crates/standin/src/worker/engine.rs
+++ b/crates/standin/src/worker/engine.rs
@@ -1,4 +1,4 @@
-//! Runs of one worker, without I/O.
+//! Runs and leases of one worker, without I/O.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -8,12 +8,12 @@
     Command, EndKind, Ended, Refusal, Running, SyncReply, SyncRequest, TaskUsage,
 };
 
-use super::run::{Run, RunOutcome, span, whole};
+use super::run::{Run, RunOutcome, to_float, truncate};
 use super::settings::{Behaviour, Settings};
 use crate::history::{EndMemory, RunEnd, RunRecord};
 
-/// Slowest speed of a run in progress.
-const LEAST_SPEED: f64 = 0.01;
+/// Minimum CPU share of a run, so that every run makes progress.
+const MIN_SHARE: f64 = 0.01;
 
 /// Why a sync was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -22,32 +22,35 @@
     Late { clock: Millis },
 }
 
-/// What the worker remembers of a shard.
+/// Newest call and lease of a shard.
 #[derive(Clone, Copy, Debug, Default)]
 struct Shard {
     epoch: u64,
     seq: u64,
-    lease: Monotonic,
+    /// End of the lease of all runs of the shard.
+    lease_end: Monotonic,
 }
 
-/// An end that was not acknowledged.
-struct Unacked {
+/// An end that has not been acknowledged.
+struct UnackedEnd {
     shard: String,
     end: Ended,
-    told: bool,
-    /// Position in the history.
-    record: usize,
+    /// Whether a reply has carried the end.
+    is_reported: bool,
+    /// Index of the run in the history.
+    record_index: usize,
 }
 
 /// Runs and leases of one worker.
 pub(super) struct Engine {
     settings: Settings,
-    /// Wall-clock time of the worker's origin.
+    /// Wall-clock time at the origin of the worker's clock.
     origin_ms: Millis,
     shards: HashMap<String, Shard>,
     runs: Vec<Run>,
-    ended: Vec<Unacked>,
+    ended: Vec<UnackedEnd>,
     history: Vec<RunRecord>,
+    /// Time up to which the runs are simulated.
     now: Monotonic,
     rng: ChaCha8Rng,
 }
@@ -66,7 +69,7 @@
         }
     }
 
-    /// Carries out one call.
+    /// Handles one sync call.
     pub(super) fn sync(
         &mut self,
         now: Monotonic,
@@ -78,15 +81,15 @@
         let refused = request
             .commands
             .iter()
-            .filter_map(|command| self.command(now, request, command, behaviour).err())
+            .filter_map(|command| self.execute(now, request, command, behaviour).err())
             .collect();
-        let acked = |ended: &Ended| request.acked.contains(&ended.run);
+        let is_acked = |ended: &Ended| request.acked.contains(&ended.run);
         self.ended
-            .retain(|ended| ended.shard != request.shard || !acked(&ended.end));
-        Ok(self.report(now, &request.shard, refused))
+            .retain(|ended| ended.shard != request.shard || !is_acked(&ended.end));
+        Ok(self.reply(now, &request.shard, refused))
     }
 
-    /// Moves all runs to `now`.
+    /// Simulates all runs up to `now`.
     pub(super) fn advance(&mut self, now: Monotonic) {
         while self.now < now {
             let to = now.min(self.now + self.settings.checkpoint_ms.max(1));
@@ -94,32 +97,32 @@
         }
     }
 
-    /// Ends everything as if the worker had lost power.
+    /// Simulates a power loss: ends all runs, and forgets the leases and the unacknowledged ends.
     pub(super) fn crash(&mut self, now: Monotonic) {
         self.advance(now);
         for run in std::mem::take(&mut self.runs) {
-            self.close(&run, now, None);
+            self.record_end(&run, now, None);
         }
         for ended in std::mem::take(&mut self.ended) {
-            self.forget(&ended);
+            self.record_loss(&ended);
         }
         self.shards.clear();
     }
 
-    /// Slowdown of requests of `kind` by the runs in progress, at least 1.0.
+    /// Factor by which the batch runs slow down requests of `kind`, at least 1.0.
     pub(super) fn slowdown(&self, kind: &str) -> f64 {
         let capacity = self.settings.capacity;
         let pressure = &self.settings.pressure;
-        let each = self.batch().map(|run| {
-            pressure.on_requests(kind, &run.profile, run.resources, run.share, capacity)
+        let slowdowns = self.batch_runs().map(|run| {
+            pressure.request_slowdown(kind, &run.profile, run.resources, run.share, capacity)
         });
-        1.0 + each.sum::<f64>()
+        1.0 + slowdowns.sum::<f64>()
     }
 
     pub(super) fn usage(&self) -> Vec<TaskUsage> {
         let used = |run: &Run| TaskUsage {
             run: run.run,
-            millicores: whole(span(run.resources.millicores) * run.share),
+            millicores: truncate(to_float(run.resources.millicores) * run.share),
             memory_mib: run.resources.memory_mib,
         };
         self.runs.iter().map(used).collect()
@@ -129,8 +132,8 @@
         &self.history
     }
 
-    /// Changes a history's record time into wall-clock time.
-    fn wall(&self, at: Monotonic) -> Millis {
+    /// Converts a time of the worker's clock into wall-clock time for the history.
+    fn wall_ms(&self, at: Monotonic) -> Millis {
         self.origin_ms + at.0
     }
 
@@ -150,12 +153,12 @@
         shard.epoch = request.epoch;
         shard.seq = request.seq;
         if request.lease_ms > 0 {
-            shard.lease = now + request.lease_ms;
+            shard.lease_end = now + request.lease_ms;
         }
         Ok(())
     }
 
-    fn command(
+    fn execute(
         &mut self,
         now: Monotonic,
         request: &SyncRequest,
@@ -163,49 +166,51 @@
         behaviour: &Behaviour,
     ) -> Result<(), Refusal> {
         match command {
-            Command::Start { run, .. } if self.knows(&request.shard, *run) => Ok(()),
+            Command::Start { run, .. } if self.is_known(&request.shard, *run) => Ok(()),
             Command::Start { run, resources, .. } => {
-                self.room_for(now, &request.shard, *resources)
+                self.check_start(now, &request.shard, *resources)
                     .map_err(|reason| refusal(*run, &reason))?;
                 self.start(now, request, command, behaviour);
                 Ok(())
             }
             Command::Throttle { run, share } => {
                 let found = self.find(&request.shard, *run)?;
-                found.share = share.clamp(LEAST_SPEED, 1.0);
+                found.share = share.clamp(MIN_SHARE, 1.0);
                 Ok(())
             }
             Command::Evict { run, grace_ms } => {
                 let needed = self.settings.evict_ms;
                 let found = self.find(&request.shard, *run)?;
-                found.saves = *grace_ms >= needed;
-                found.evicted.get_or_insert(now + needed.min(*grace_ms));
+                found.can_checkpoint = *grace_ms >= needed;
+                found
+                    .eviction_end
+                    .get_or_insert(now + needed.min(*grace_ms));
                 Ok(())
             }
             Command::Stop { run } => {
                 self.find(&request.shard, *run)?;
                 let kind = EndKind::Stopped;
-                self.end(&request.shard, *run, RunOutcome { at: now, kind });
+                self.end_run(&request.shard, *run, RunOutcome { at: now, kind });
                 Ok(())
             }
         }
     }
 
-    fn knows(&self, shard: &str, run: u64) -> bool {
-        let ended = |ended: &Unacked| ended.shard == shard && ended.end.run == run;
-        let runs = |going: &Run| going.shard == shard && going.run == run;
-        self.ended.iter().any(ended) || self.runs.iter().any(runs)
+    fn is_known(&self, shard: &str, run: u64) -> bool {
+        let is_ended = |ended: &UnackedEnd| ended.shard == shard && ended.end.run == run;
+        let is_running = |candidate: &Run| candidate.shard == shard && candidate.run == run;
+        self.ended.iter().any(is_ended) || self.runs.iter().any(is_running)
     }
 
     fn find(&mut self, shard: &str, run: u64) -> Result<&mut Run, Refusal> {
         let mut runs = self.runs.iter_mut();
-        let found = runs.find(|going| going.shard == shard && going.run == run);
+        let found = runs.find(|candidate| candidate.shard == shard && candidate.run == run);
         found.ok_or_else(|| refusal(run, "the run does not go on"))
     }
 
-    fn room_for(&self, now: Monotonic, shard: &str, need: Resources) -> Result<(), String> {
-        let lease = self.shards.get(shard).map(|shard| shard.lease);
-        if lease.is_none_or(|lease| lease <= now) {
+    fn check_start(&self, now: Monotonic, shard: &str, need: Resources) -> Result<(), String> {
+        let lease_end = self.shards.get(shard).map(|shard| shard.lease_end);
+        if lease_end.is_none_or(|lease_end| lease_end <= now) {
             return Err("the shard has no lease".to_owned());
         }
         let used = self.runs.iter().map(|run| run.resources);
@@ -237,20 +242,20 @@
         else {
             return;
         };
-        let going = Run {
+        let started = Run {
             task: task.clone(),
             run: *run,
             shard: request.shard.clone(),
             profile: profile.clone(),
             class: *class,
             resources: *resources,
-            share: share.clamp(LEAST_SPEED, 1.0),
-            work_ms: (*run_ms > 0).then(|| self.true_work(*run_ms)),
-            progress_ms: span(*checkpoint_ms),
+            share: share.clamp(MIN_SHARE, 1.0),
+            work_ms: (*run_ms > 0).then(|| self.draw_work_ms(*run_ms)),
+            progress_ms: to_float(*checkpoint_ms),
             checkpoint_ms: *checkpoint_ms,
-            evicted: None,
-            saves: false,
-            record: self.history.len(),
+            eviction_end: None,
+            can_checkpoint: false,
+            record_index: self.history.len(),
         };
         self.history.push(RunRecord {
             task: task.clone(),
@@ -260,23 +265,23 @@
             profile: profile.clone(),
             resources: *resources,
             resumed_ms: *checkpoint_ms,
-            start: self.wall(now),
+            start: self.wall_ms(now),
             end: None,
         });
-        self.runs.push(going);
+        self.runs.push(started);
         if behaviour.fail_all || behaviour.fail_profiles.contains(profile) {
             let kind = EndKind::Failed;
-            self.end(&request.shard, *run, RunOutcome { at: now, kind });
+            self.end_run(&request.shard, *run, RunOutcome { at: now, kind });
         }
     }
 
-    fn true_work(&mut self, declared: Millis) -> f64 {
+    fn draw_work_ms(&mut self, declared_ms: Millis) -> f64 {
         let spread = self.settings.run_spread.max(1.0);
         let exponent: f64 = self.rng.random_range(-1.0..=1.0);
-        span(declared) * spread.powf(exponent)
+        to_float(declared_ms) * spread.powf(exponent)
     }
 
-    fn batch(&self) -> impl Iterator<Item = &Run> {
+    fn batch_runs(&self) -> impl Iterator<Item = &Run> {
         self.runs.iter().filter(|run| run.class == Class::Batch)
     }
 
@@ -286,71 +291,76 @@
         let interval_ms = self.settings.checkpoint_ms;
         let mut outcomes = Vec::new();
         for (run, speed) in self.runs.iter_mut().zip(speeds) {
-            let lease = self.shards.get(&run.shard).map(|shard| shard.lease);
-            let lease = lease.unwrap_or_default();
-            if let Some(outcome) = run.advance(from, to, speed, lease, interval_ms) {
+            let lease_end = self.shards.get(&run.shard).map(|shard| shard.lease_end);
+            let lease_end = lease_end.unwrap_or_default();
+            if let Some(outcome) = run.advance(from, to, speed, lease_end, interval_ms) {
                 outcomes.push((run.shard.clone(), run.run, outcome));
             }
         }
         for (shard, run, outcome) in outcomes {
-            self.end(&shard, run, outcome);
+            self.end_run(&shard, run, outcome);
         }
     }
 
     fn speed(&self, run: &Run) -> f64 {
         let capacity = self.settings.capacity;
         let pressure = &self.settings.pressure;
-        let others = self.batch().filter(|other| other.record != run.record);
+        let others = self
+            .batch_runs()
+            .filter(|other| other.record_index != run.record_index);
         let slowdown: f64 = others
-            .map(|other| pressure.on_runs(&other.profile, other.resources, other.share, capacity))
+            .map(|other| {
+                pressure.run_slowdown(&other.profile, other.resources, other.share, capacity)
+            })
             .sum();
         run.share / (1.0 + slowdown)
     }
 
-    fn end(&mut self, shard: &str, run: u64, outcome: RunOutcome) {
-        let of = |going: &Run| going.shard == shard && going.run == run;
-        let Some(position) = self.runs.iter().position(of) else {
+    fn end_run(&mut self, shard: &str, run: u64, outcome: RunOutcome) {
+        let is_ending = |candidate: &Run| candidate.shard == shard && candidate.run == run;
+        let Some(position) = self.runs.iter().position(is_ending) else {
             return;
         };
         let run = self.runs.swap_remove(position);
-        self.close(&run, outcome.at, Some(outcome.kind));
+        self.record_end(&run, outcome.at, Some(outcome.kind));
         let ended = Ended {
             task: run.task,
             run: run.run,
             kind: outcome.kind,
             checkpoint_ms: run.checkpoint_ms,
         };
-        self.ended.push(Unacked {
+        self.ended.push(UnackedEnd {
             shard: run.shard,
             end: ended,
-            told: false,
-            record: run.record,
+            is_reported: false,
+            record_index: run.record_index,
         });
     }
 
-    fn forget(&mut self, ended: &Unacked) {
-        let record = self.history.get_mut(ended.record);
+    /// Records in the history that an end was forgotten before its acknowledgement.
+    fn record_loss(&mut self, ended: &UnackedEnd) {
+        let record = self.history.get_mut(ended.record_index);
         if let Some(end) = record.and_then(|record| record.end.as_mut()) {
-            end.memory = match ended.told {
+            end.memory = match ended.is_reported {
                 true => EndMemory::Told,
                 false => EndMemory::Untold,
             };
         }
     }
 
-    fn close(&mut self, run: &Run, at: Monotonic, kind: Option<EndKind>) {
+    fn record_end(&mut self, run: &Run, at: Monotonic, kind: Option<EndKind>) {
         let end = RunEnd {
-            at: self.wall(at),
+            at: self.wall_ms(at),
             kind,
             checkpoint_ms: run.checkpoint_ms,
             memory: EndMemory::Kept,
         };
-        if let Some(record) = self.history.get_mut(run.record) {
+        if let Some(record) = self.history.get_mut(run.record_index) {
             record.end = Some(end);
         }
     }
 
-    fn report(&mut self, now: Monotonic, shard: &str, refused: Vec<Refusal>) -> SyncReply {
+    fn reply(&mut self, now: Monotonic, shard: &str, refused: Vec<Refusal>) -> SyncReply {
         let running = |run: &Run| Running {
             task: run.task.clone(),
             run: run.run,
@@ -360,15 +370,15 @@
         };
         let own = self.runs.iter().filter(|run| run.shard == shard);
         let ended = self.ended.iter_mut().filter(|ended| ended.shard == shard);
-        let tell = |ended: &mut Unacked| {
-            ended.told = true;
+        let report = |ended: &mut UnackedEnd| {
+            ended.is_reported = true;
             ended.end.clone()
         };
         SyncReply {
             clock: now.0,
             refused,
             running: own.map(running).collect(),
-            ended: ended.map(tell).collect(),
+            ended: ended.map(report).collect(),
             usage: verbenahitch::port::Usage::default(),
         }
     }
--- a/crates/standin/src/worker/handle.rs
+++ b/crates/standin/src/worker/handle.rs
@@ -15,25 +15,25 @@
 use super::engine::{Engine, SyncRefusal};
 use super::latency::Window;
 use super::settings::{Behaviour, ServiceTime, Settings};
-use super::upstream::{Head, Slots, micros};
+use super::upstream::{Head, Slots, from_micros};
 use super::{control, upstream};
 use crate::fault::Faults;
 use crate::history::{RequestRecord, WorkerHistory};
-use crate::server::{Doors, StartError};
+use crate::server::{Endpoints, StartError};
 
-/// Time between two looks at the runs, in milliseconds.
+/// Interval between simulation steps of the runs, in milliseconds.
 const TICK_MS: Millis = 20;
 
 /// A running worker; stops when dropped.
 pub struct Worker {
     inner: Arc<Inner>,
-    control: Doors,
-    upstream: Doors,
+    control: Endpoints,
+    upstream: Endpoints,
     control_faults: Faults,
     upstream_faults: Faults,
 }
 
-/// State behind the routes.
+/// State shared with the routes.
 pub(super) struct Inner {
     pub(super) settings: Settings,
     pub(super) slots: Slots,
@@ -47,22 +47,23 @@
     rng: ChaCha8Rng,
     requests: Vec<RequestRecord>,
     window: Window,
-    measured: Measured,
+    measured: Measurement,
 }
 
-/// Usage as last measured.
+/// Newest measurement of usage and latency.
 #[derive(Default)]
-struct Measured {
+struct Measurement {
     at: Monotonic,
     tasks: Vec<TaskUsage>,
     latency: Vec<LatencyReport>,
 }
 
 /// A request in progress.
-pub(super) struct Began {
-    record: usize,
+pub(super) struct ActiveRequest {
+    /// Index of the request in the history.
+    record_index: usize,
     kind: String,
-    at: Instant,
+    started: Instant,
 }
 
 impl Worker {
@@ -70,15 +71,15 @@
     ///
     /// # Errors
     ///
-    /// When no port is free.
+    /// When no port is available.
     pub async fn start(settings: Settings) -> Result<Self, StartError> {
         let free = SocketAddr::from(([127, 0, 0, 1], 0));
         let clock = Arc::new(SystemClock::default());
         Self::with_clock(free, free, &[], settings, clock).await
     }
 
-    /// Starts a worker whose runs and leases go by `clock`, with further
-    /// addresses for each of `zones`.
+    /// Starts a worker whose runs and leases are timed by `clock`, with
+    /// separate addresses for each of `zones`.
     ///
     /// # Errors
     ///
@@ -95,12 +96,12 @@
         let mounted = Arc::clone(&inner);
         let mount =
             Arc::new(move |rocket, _: Option<&str>| control::mount(rocket, Arc::clone(&mounted)));
-        let control = Doors::start(control, zones, &control_faults, mount).await?;
+        let control = Endpoints::start(control, zones, &control_faults, mount).await?;
         let upstream_faults = Faults::default();
         let mounted = Arc::clone(&inner);
         let mount =
             Arc::new(move |rocket, _: Option<&str>| upstream::mount(rocket, Arc::clone(&mounted)));
-        let upstream = Doors::start(upstream, zones, &upstream_faults, mount).await?;
+        let upstream = Endpoints::start(upstream, zones, &upstream_faults, mount).await?;
         tokio::spawn(tick(Arc::downgrade(&inner)));
         Ok(Self {
             inner,
@@ -121,12 +122,12 @@
         &self.inner.settings.zone
     }
 
-    /// Entry of the platform's list for callers of all availability zones.
+    /// Entry of the worker list with the addresses that all callers share.
     pub fn record(&self) -> HostRecord {
         self.record_for(None)
     }
 
-    /// Entry of the platform's list as callers of `zone` see it.
+    /// Entry of the worker list as callers of `zone` see it.
     pub fn record_for(&self, zone: Option<&str>) -> HostRecord {
         let settings = &self.inner.settings;
         HostRecord {
@@ -151,12 +152,13 @@
         &self.upstream_faults
     }
 
-    /// Changes what can be changed while the worker runs.
+    /// Changes the behaviour of the running worker.
     pub fn behave(&self, change: impl FnOnce(&mut Behaviour)) {
         change(&mut self.inner.data().behaviour);
     }
 
-    /// Ends everything as if the worker had lost power: its runs and its memory are gone.
+    /// Simulates a power loss: closes all ports, ends all runs, and forgets the leases
+    /// and the unacknowledged ends.
     pub fn crash(&self) {
         self.control.stop();
         self.upstream.stop();
@@ -164,7 +166,7 @@
         self.inner.data().engine.crash(now);
     }
 
-    /// Starts an empty worker after [`Worker::crash`].
+    /// Opens all ports again after [`Worker::crash`]; the worker starts without runs.
     ///
     /// # Errors
     ///
@@ -174,7 +176,7 @@
         self.upstream.resume().await
     }
 
-    /// Everything that the worker did so far.
+    /// Runs and requests of the worker so far.
     pub fn history(&self) -> WorkerHistory {
         let now = self.inner.clock.now();
         let mut data = self.inner.data();
@@ -199,7 +201,7 @@
             rng: ChaCha8Rng::seed_from_u64(settings.seed),
             requests: Vec::new(),
             window: Window::default(),
-            measured: Measured::default(),
+            measured: Measurement::default(),
         };
         Self {
             slots: Slots::new(settings.slots, settings.queue),
@@ -225,7 +227,7 @@
         self.data().behaviour.leaving
     }
 
-    pub(super) fn begin(&self, head: Head) -> Began {
+    pub(super) fn begin_request(&self, head: Head) -> ActiveRequest {
         let mut data = self.data();
         data.requests.push(RequestRecord {
             kind: head.kind.clone(),
@@ -235,30 +237,30 @@
             start: self.clock.wall_ms(),
             end: None,
         });
-        Began {
-            record: data.requests.len() - 1,
+        ActiveRequest {
+            record_index: data.requests.len() - 1,
             kind: head.kind,
-            at: Instant::now(),
+            started: Instant::now(),
         }
     }
 
-    pub(super) fn finish(&self, began: Began) {
-        let profile = self.settings.profiles.get(&began.kind);
-        let profile = profile.unwrap_or(&began.kind);
+    pub(super) fn finish_request(&self, request: ActiveRequest) {
+        let profile = self.settings.profiles.get(&request.kind);
+        let profile = profile.unwrap_or(&request.kind);
         let wall_ms = self.clock.wall_ms();
         let mut data = self.data();
-        data.window.record(profile, began.at.elapsed());
-        if let Some(record) = data.requests.get_mut(began.record) {
+        data.window.record(profile, request.started.elapsed());
+        if let Some(record) = data.requests.get_mut(request.record_index) {
             record.end = Some(wall_ms);
         }
     }
 
-    /// Draws the service time of one request under the pressure of now.
+    /// Draws the service time of one request, given the current interference.
     pub(super) fn service_time(&self, kind: &str) -> Duration {
         let service = self.settings.service.get(kind).copied().unwrap_or_default();
         let mut data = self.data();
         let slowdown = data.engine.slowdown(kind);
-        draw(&mut data.rng, service, slowdown)
+        draw_service_time(&mut data.rng, service, slowdown)
     }
 
     fn data(&self) -> MutexGuard<'_, Data> {
@@ -272,7 +274,7 @@
         if now.since(self.measured.at) < interval_ms {
             return;
         }
-        self.measured = Measured {
+        self.measured = Measurement {
             at: now,
             tasks: self.engine.usage(),
             latency: self.window.close(),
@@ -280,23 +282,23 @@
     }
 }
 
-impl Measured {
+impl Measurement {
     fn usage(&self, now: Monotonic, reply: &SyncReply) -> Usage {
-        let own = |task: &&TaskUsage| reply.running.iter().any(|run| run.run == task.run);
+        let is_own = |task: &&TaskUsage| reply.running.iter().any(|run| run.run == task.run);
         Usage {
             age_ms: now.since(self.at),
-            tasks: self.tasks.iter().filter(own).copied().collect(),
+            tasks: self.tasks.iter().filter(is_own).copied().collect(),
             latency: self.latency.clone(),
         }
     }
 }
 
-fn draw(rng: &mut ChaCha8Rng, service: ServiceTime, slowdown: f64) -> Duration {
-    // Box-Muller transform; the first number is never zero.
+fn draw_service_time(rng: &mut ChaCha8Rng, service: ServiceTime, slowdown: f64) -> Duration {
+    // Box-Muller transform; the argument of the logarithm is never zero.
     let radius = (-2.0 * (1.0 - rng.random::<f64>()).ln()).sqrt();
     let normal = radius * (std::f64::consts::TAU * rng.random::<f64>()).cos();
     let median = f64::from(u32::try_from(service.median_us).unwrap_or(u32::MAX));
-    micros(median * (service.sigma * normal).exp() * slowdown)
+    from_micros(median * (service.sigma * normal).exp() * slowdown)
 }
 
 async fn tick(inner: Weak<Inner>) {
--- a/crates/standin/src/worker/latency.rs
+++ b/crates/standin/src/worker/latency.rs
@@ -1,4 +1,4 @@
-//! Latency of the upstream's answers, measured in windows.
+//! Latency of the upstream's answers per measurement window.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,12 +7,12 @@
 use verbenahitch::port::LatencyReport;
 
 /// Significant digits of the histograms.
-const DIGITS: u8 = 2;
+const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// Largest latency that is told apart, in microseconds.
-const LIMIT_US: u64 = 3_600_000_000;
+/// Maximum recorded latency, in microseconds; longer ones count as this value.
+const MAX_LATENCY_US: u64 = 3_600_000_000;
 
-/// Latencies of the window in progress, by profile.
+/// Latencies of the current window, by profile.
 #[derive(Debug, Default)]
 pub(super) struct Window {
     profiles: BTreeMap<String, Histogram<u64>>,
@@ -21,9 +21,9 @@
 impl Window {
     pub(super) fn record(&mut self, profile: &str, latency: Duration) {
         if !self.profiles.contains_key(profile) {
-            let fresh = Histogram::new_with_max(LIMIT_US, DIGITS);
-            let fresh = fresh.expect("the limits are valid");
-            self.profiles.insert(profile.to_owned(), fresh);
+            let empty = Histogram::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS);
+            let empty = empty.expect("the histogram limits are valid");
+            self.profiles.insert(profile.to_owned(), empty);
         }
         if let Some(histogram) = self.profiles.get_mut(profile) {
             let micros = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Ends the window and reports it.
+    /// Ends the window and returns its report.
     pub(super) fn close(&mut self) -> Vec<LatencyReport> {
         let profiles = std::mem::take(&mut self.profiles);
         let report = |(profile, histogram): (String, Histogram<u64>)| LatencyReport {
--- a/crates/standin/src/worker/mod.rs
+++ b/crates/standin/src/worker/mod.rs
@@ -1,10 +1,10 @@
-//! Stand-in of a worker: the platform's task interface on one address, the
-//! upstream's HTTP on another.
+//! Stand-in for a worker: the platform's task interface on one address, the
+//! upstream's HTTP interface on another.
 //!
 //! The task interface follows `verbenahitch::port::SyncRequest`. The upstream
 //! serves a bounded number of requests at a time, with a service time that is
-//! drawn from a seeded distribution and grows under the pressure of the batch
-//! runs beside it.
+//! drawn from a seeded distribution and grows with the interference of the batch
+//! runs on the same worker.
 
 mod control;
 mod engine;
--- a/crates/standin/src/worker/pressure.rs
+++ b/crates/standin/src/worker/pressure.rs
@@ -1,7 +1,8 @@
-//! Model of how batch runs slow the requests and the other runs beside them.
+//! Interference model: how much batch runs slow down the requests and the other
+//! runs on their worker.
 //!
-//! The system under test never sees these figures; it has to learn them from
-//! usage and latency reports.
+//! The parameters are hidden from the system under test, which has to estimate
+//! the interference from usage and latency reports.
 
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -10,15 +11,16 @@
 use serde::{Deserialize, Serialize};
 use verbenahitch::domain::Resources;
 
-/// Strength of the pressure by profile.
+/// Parameters of the interference model.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Pressure {
-    /// Slowdown that a run of the profile causes when it uses the whole worker.
+    /// Slowdown, as an addition to 1.0, that a run of each profile causes when it
+    /// uses all CPU of the worker.
     pub profiles: BTreeMap<String, f64>,
-    /// Largest slowdown of a profile that is not listed.
+    /// Maximum slowdown by a profile that is not listed.
     pub largest: f64,
-    /// Share of the slowdown of requests that also falls on other runs.
+    /// Fraction of the slowdown of requests that also applies to other runs.
     pub runs: f64,
 }
 
@@ -34,24 +36,30 @@
 
 impl Pressure {
     /// Slowdown of requests of `kind` by one run, as an addition to 1.0.
-    pub fn on_requests(
+    pub fn request_slowdown(
         &self,
         kind: &str,
         profile: &str,
-        used: Resources,
+        resources: Resources,
         share: f64,
         capacity: Resources,
     ) -> f64 {
         let strength = match self.profiles.get(profile) {
             Some(strength) => *strength,
-            None => self.largest * fraction(&(kind, profile)),
+            None => self.largest * hash_fraction(&(kind, profile)),
         };
-        strength * share * processors(used, capacity)
+        strength * share * cpu_fraction(resources, capacity)
     }
 
     /// Slowdown of other runs by one run, as an addition to 1.0.
-    pub fn on_runs(&self, profile: &str, used: Resources, share: f64, capacity: Resources) -> f64 {
-        self.runs * self.on_requests("", profile, used, share, capacity)
+    pub fn run_slowdown(
+        &self,
+        profile: &str,
+        resources: Resources,
+        share: f64,
+        capacity: Resources,
+    ) -> f64 {
+        self.runs * self.request_slowdown("", profile, resources, share, capacity)
     }
 }
 
@@ -59,12 +67,12 @@
     clippy::cast_precision_loss,
     reason = "a worker has far below 2^52 millicores"
 )]
-fn processors(used: Resources, capacity: Resources) -> f64 {
-    used.millicores as f64 / capacity.millicores.max(1) as f64
+fn cpu_fraction(resources: Resources, capacity: Resources) -> f64 {
+    resources.millicores as f64 / capacity.millicores.max(1) as f64
 }
 
-/// Fixed number between 0.0 and 1.0 for each input.
-fn fraction(input: &impl Hash) -> f64 {
+/// Hash of the input as a fraction from 0.0 to 1.0.
+fn hash_fraction(input: &impl Hash) -> f64 {
     let mut hasher = FxHasher::default();
     input.hash(&mut hasher);
     f64::from(u32::try_from(hasher.finish() >> 32).unwrap_or(0)) / f64::from(u32::MAX)
--- a/crates/standin/src/worker/run.rs
+++ b/crates/standin/src/worker/run.rs
@@ -3,7 +3,7 @@
 use verbenahitch::domain::{Class, Millis, Monotonic, Resources, TaskId};
 use verbenahitch::port::EndKind;
 
-/// A run that goes on.
+/// A run in progress.
 #[derive(Clone, Debug)]
 pub(super) struct Run {
     pub(super) task: TaskId,
@@ -12,17 +12,18 @@
     pub(super) profile: String,
     pub(super) class: Class,
     pub(super) resources: Resources,
+    /// CPU share.
     pub(super) share: f64,
-    /// Milliseconds of work that it takes; `None` until it is stopped.
+    /// Work of the run, in milliseconds at full speed; `None` if it runs until it is stopped.
     pub(super) work_ms: Option<f64>,
     pub(super) progress_ms: f64,
     pub(super) checkpoint_ms: Millis,
-    /// When its eviction is over.
-    pub(super) evicted: Option<Monotonic>,
-    /// Whether its eviction leaves time for a checkpoint.
-    pub(super) saves: bool,
-    /// Position in the history.
-    pub(super) record: usize,
+    /// End of the eviction, if the run is being evicted.
+    pub(super) eviction_end: Option<Monotonic>,
+    /// Whether the grace of the eviction suffices for a checkpoint.
+    pub(super) can_checkpoint: bool,
+    /// Index of the run in the history.
+    pub(super) record_index: usize,
 }
 
 /// How and when a run ended.
@@ -33,46 +34,48 @@
 }
 
 impl Run {
-    /// Moves the run from `from` to `to` at `speed`; says whether it ended on the way.
+    /// Simulates the run from `from` to `to` at `speed`; returns its outcome if it ended.
     pub(super) fn advance(
         &mut self,
         from: Monotonic,
         to: Monotonic,
         speed: f64,
-        lease: Monotonic,
+        lease_end: Monotonic,
         interval_ms: Millis,
     ) -> Option<RunOutcome> {
-        let stop = self.evicted.map_or(lease, |evicted| evicted.min(lease));
-        let until = to.min(stop);
+        let end = self
+            .eviction_end
+            .map_or(lease_end, |eviction| eviction.min(lease_end));
+        let run_until = to.min(end);
         let done = self.done_at(from, speed);
-        if let Some(at) = done.filter(|at| *at <= until) {
+        if let Some(at) = done.filter(|at| *at <= run_until) {
             self.progress_ms = self.work_ms.unwrap_or(self.progress_ms);
-            self.checkpoint_ms = whole(self.progress_ms);
+            self.checkpoint_ms = truncate(self.progress_ms);
             let kind = EndKind::Done;
             return Some(RunOutcome { at, kind });
         }
-        self.progress_ms += span(until.since(from)) * speed;
-        let kept = whole(self.progress_ms) / interval_ms.max(1) * interval_ms.max(1);
-        self.checkpoint_ms = self.checkpoint_ms.max(kept);
-        if stop > to {
+        self.progress_ms += to_float(run_until.since(from)) * speed;
+        let periodic_ms = truncate(self.progress_ms) / interval_ms.max(1) * interval_ms.max(1);
+        self.checkpoint_ms = self.checkpoint_ms.max(periodic_ms);
+        if end > to {
             return None;
         }
-        let evicted = self.evicted == Some(stop);
-        if !evicted || self.saves {
-            self.checkpoint_ms = self.checkpoint_ms.max(whole(self.progress_ms));
+        let is_evicted = self.eviction_end == Some(end);
+        if !is_evicted || self.can_checkpoint {
+            self.checkpoint_ms = self.checkpoint_ms.max(truncate(self.progress_ms));
         }
-        let kind = if evicted {
+        let kind = if is_evicted {
             EndKind::Evicted
         } else {
             EndKind::Lapsed
         };
-        Some(RunOutcome { at: stop, kind })
+        Some(RunOutcome { at: end, kind })
     }
 
     fn done_at(&self, from: Monotonic, speed: f64) -> Option<Monotonic> {
-        let left = self.work_ms? - self.progress_ms;
-        let millis = (left.max(0.0) / speed).ceil();
-        Some(from + whole(millis))
+        let left_ms = self.work_ms? - self.progress_ms;
+        let needed_ms = (left_ms.max(0.0) / speed).ceil();
+        Some(from + truncate(needed_ms))
     }
 }
 
@@ -80,8 +83,8 @@
     clippy::cast_precision_loss,
     reason = "spans are far below 2^52 milliseconds"
 )]
-pub(super) fn span(millis: Millis) -> f64 {
-    millis as f64
+pub(super) fn to_float(value: Millis) -> f64 {
+    value as f64
 }
 
 #[expect(
@@ -89,6 +92,6 @@
     clippy::cast_sign_loss,
     reason = "progress is never negative and far below 2^52 milliseconds"
 )]
-pub(super) fn whole(millis: f64) -> Millis {
-    millis as Millis
+pub(super) fn truncate(value: f64) -> Millis {
+    value as Millis
 }
--- a/crates/standin/src/worker/settings.rs
+++ b/crates/standin/src/worker/settings.rs
@@ -1,4 +1,4 @@
-//! How a worker is set up.
+//! Settings of a worker.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,40 +7,40 @@
 
 use super::Pressure;
 
-/// Setup of one worker.
+/// Settings of one worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Settings {
-    /// Name of the worker, unique over all availability zones.
+    /// Name of the worker, unique across all availability zones.
     pub name: String,
     /// Availability zone of the worker.
     pub zone: String,
     /// Rack of the worker.
     pub rack: String,
-    /// Size of the worker.
+    /// Capacity of the worker.
     pub capacity: Resources,
-    /// Requests that the upstream serves at a time.
+    /// Maximum number of requests that the upstream serves at a time.
     pub slots: u32,
-    /// Requests that may wait for a slot.
+    /// Maximum number of requests that wait for a slot.
     pub queue: u32,
-    /// Seed of the service times and the true run times.
+    /// Seed of the service times and the actual run times.
     pub seed: u64,
-    /// Whether starts that exceed the size are refused; the check of a scheduler's
-    /// own bookkeeping switches it off.
+    /// Whether starts that exceed the capacity are refused; otherwise an error in the
+    /// scheduler's own accounting shows as overcommitment in the history.
     pub enforced: bool,
-    /// Time between two checkpoints of a run, in milliseconds.
+    /// Checkpoint interval of a run, in milliseconds.
     pub checkpoint_ms: Millis,
-    /// Time that the checkpoint of an evicted run takes, in milliseconds.
+    /// Duration of the checkpoint of an evicted run, in milliseconds.
     pub evict_ms: Millis,
-    /// Time between two measurements of usage, in milliseconds.
+    /// Interval between measurements of usage, in milliseconds.
     pub usage_ms: Millis,
-    /// Largest factor between a run's declared and its true time, at least 1.0.
+    /// Maximum factor between the declared and the actual run time, at least 1.0.
     pub run_spread: f64,
-    /// Service times by the first part of the request's path.
+    /// Service times by the first segment of the request path.
     pub service: BTreeMap<String, ServiceTime>,
-    /// Profiles by the first part of the request's path, for the latency reports.
+    /// Profiles by the first segment of the request path, for the latency reports.
     pub profiles: BTreeMap<String, String>,
-    /// How runs and requests press on each other.
+    /// Interference that runs cause to requests and other runs.
     pub pressure: Pressure,
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// Distribution of the service time of a request kind on an idle worker: lognormal.
+/// Lognormal distribution of the service time of a request kind without interference.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct ServiceTime {
@@ -85,11 +85,11 @@
     }
 }
 
-/// What can be changed while a worker runs.
+/// Settings that can be changed while a worker runs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Behaviour {
-    /// Whether the worker is leaving, as its upstream's answers say.
+    /// Whether the upstream's answers announce that the worker is leaving.
     pub leaving: bool,
     /// Whether every run fails as soon as it starts.
     pub fail_all: bool,
--- a/crates/standin/src/worker/upstream.rs
+++ b/crates/standin/src/worker/upstream.rs
@@ -1,4 +1,5 @@
-//! Routes of the upstream: a few slots, a short queue, a truthful refusal.
+//! Routes of the upstream: a fixed number of slots with a short queue. A request
+//! that finds both full is refused with a header that states that it has not run.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,13 +13,13 @@
 
 use super::handle::Inner;
 
-/// Identity that the caller gives each of its calls, also to a repeat of an earlier one.
+/// Header with the call ID. The caller assigns a new ID to each call, also to a repeated one.
 ///
-/// Nothing between caller and upstream knows the field, so both may rely on it.
+/// Nothing between the caller and the upstream interprets the header, so it arrives unchanged.
 pub const CALL_ID: &str = "x-call-id";
 
-/// Largest body that the upstream reads, in bytes.
-const BODY_LIMIT: u64 = 8 << 20;
+/// Maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: u64 = 8 << 20;
 
 pub(super) fn mount(rocket: Rocket<Build>, inner: Arc<Inner>) -> Rocket<Build> {
     let routes = routes![on_get, on_post, on_put, on_delete];
@@ -35,13 +36,13 @@
     pub call_id: String,
     /// Name of the worker that ran the request.
     pub worker: String,
-    /// First part of the request's path.
+    /// First segment of the request path.
     pub kind: String,
     /// Body of the request.
     pub echo: String,
 }
 
-/// What of a request's head matters here.
+/// Head of a request, as far as the upstream uses it.
 pub(super) struct Head {
     pub(super) kind: String,
     pub(super) request_id: String,
@@ -107,12 +108,12 @@
 
 #[post("/<_..>", data = "<data>")]
 async fn on_post(head: Head, data: Data<'_>, worker: &State<Arc<Inner>>) -> Answer {
-    with_body(head, data, worker).await
+    serve_with_body(head, data, worker).await
 }
 
 #[put("/<_..>", data = "<data>")]
 async fn on_put(head: Head, data: Data<'_>, worker: &State<Arc<Inner>>) -> Answer {
-    with_body(head, data, worker).await
+    serve_with_body(head, data, worker).await
 }
 
 #[delete("/<_..>")]
@@ -120,8 +121,8 @@
     serve(head, String::new(), worker).await
 }
 
-async fn with_body(head: Head, data: Data<'_>, worker: &Inner) -> Answer {
-    match data.open(BODY_LIMIT.bytes()).into_string().await {
+async fn serve_with_body(head: Head, data: Data<'_>, worker: &Inner) -> Answer {
+    match data.open(MAX_BODY_BYTES.bytes()).into_string().await {
         Ok(body) if body.is_complete() => serve(head, body.into_inner(), worker).await,
         _ => Answer::Incomplete,
     }
@@ -129,7 +130,7 @@
 
 async fn serve(head: Head, body: String, worker: &Inner) -> Answer {
     let leaving = worker.is_leaving();
-    let Some(slot) = worker.slots.enter().await else {
+    let Some(slot) = worker.slots.acquire().await else {
         let request_id = head.request_id;
         return Answer::Full {
             request_id,
@@ -139,9 +140,9 @@
     let kind = head.kind.clone();
     let request_id = head.request_id.clone();
     let call_id = head.call_id.clone();
-    let record = worker.begin(head);
+    let request = worker.begin_request(head);
     tokio::time::sleep(worker.service_time(&kind)).await;
-    worker.finish(record);
+    worker.finish_request(request);
     drop(slot);
     let receipt = Receipt {
         request_id,
@@ -156,37 +157,38 @@
     }
 }
 
-/// Slots with a short queue before them.
+/// Slots for requests, with a short queue.
 pub(super) struct Slots {
-    free: tokio::sync::Semaphore,
-    room: tokio::sync::Semaphore,
+    serving: tokio::sync::Semaphore,
+    /// Permits for the requests in slots and in the queue.
+    admitted: tokio::sync::Semaphore,
 }
 
 /// One slot; freed when dropped.
 pub(super) struct Slot<'a> {
-    _slot: tokio::sync::SemaphorePermit<'a>,
-    _room: tokio::sync::SemaphorePermit<'a>,
+    _serving: tokio::sync::SemaphorePermit<'a>,
+    _admitted: tokio::sync::SemaphorePermit<'a>,
 }
 
 impl Slots {
     pub(super) fn new(slots: u32, queue: u32) -> Self {
         let count = |number: u32| usize::try_from(number).unwrap_or(usize::MAX);
         Self {
-            free: tokio::sync::Semaphore::new(count(slots)),
-            room: tokio::sync::Semaphore::new(count(slots.saturating_add(queue))),
+            serving: tokio::sync::Semaphore::new(count(slots)),
+            admitted: tokio::sync::Semaphore::new(count(slots.saturating_add(queue))),
         }
     }
 
-    async fn enter(&self) -> Option<Slot<'_>> {
-        let room = self.room.try_acquire().ok()?;
-        let slot = self.free.acquire().await.ok()?;
+    async fn acquire(&self) -> Option<Slot<'_>> {
+        let admitted = self.admitted.try_acquire().ok()?;
+        let serving = self.serving.acquire().await.ok()?;
         Some(Slot {
-            _slot: slot,
-            _room: room,
+            _serving: serving,
+            _admitted: admitted,
         })
     }
 }
 
-pub(super) fn micros(micros: f64) -> Duration {
+pub(super) fn from_micros(micros: f64) -> Duration {
     Duration::from_secs_f64((micros / 1e6).clamp(0.0, 3_600.0))
 }
