--- a/testsuite/examples/peers.rs
+++ b/testsuite/examples/peers.rs
@@ -19,7 +19,7 @@
 use verbenahitch_standin::fault::Fault;
 use verbenahitch_standin::store::{Settings, Store};
 
-use network::{Network, Process, declarations, until};
+use network::{Network, Process, declarations, wait_until};
 
 #[expect(dead_code, reason = "the tests use the rest")]
 #[path = "../tests/testsuite/membership/network.rs"]
@@ -54,7 +54,7 @@
         let store = Store::with_clock(any_port, &zones, Settings::default(), clock).await;
         let mut fleet = Self {
             store: store.expect("the store starts"),
-            network: Network::metered(HEARTBEAT_MS, count_write),
+            network: Network::with_meter(HEARTBEAT_MS, count_write),
             processes: Vec::new(),
             watches: Vec::new(),
             revision: 0,
@@ -64,8 +64,8 @@
         }
         for process in &fleet.processes {
             for other in &fleet.processes {
-                until("all processes receive each other's heartbeats", || {
-                    process.hears(other)
+                wait_until("all processes receive each other's heartbeats", || {
+                    process.sees_live(other)
                 })
                 .await;
             }
--- a/testsuite/tests/testsuite/membership/gateway.rs
+++ b/testsuite/tests/testsuite/membership/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway with a stand-in store, driven over its operators' interface.
+//! Gateways with a stand-in store, called over their operators' interface.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -15,10 +15,10 @@
 use verbenahitch::settings::{Settings, parse_settings};
 use verbenahitch_standin::store::{Settings as StoreSettings, Store};
 
-pub(super) const OPERATOR: &str = "token-of-the-operator";
-pub(super) const SECOND: &str = "token-of-the-second-operator";
-pub(super) const MARKETS: &str = "token-of-the-markets-team";
-pub(super) const PASSES: &str = "token-of-the-passes-team";
+pub(super) const OPERATOR_TOKEN: &str = "token-of-the-operator";
+pub(super) const SECOND_OPERATOR_TOKEN: &str = "token-of-the-second-operator";
+pub(super) const MARKETS_TOKEN: &str = "token-of-the-markets-team";
+pub(super) const PASSES_TOKEN: &str = "token-of-the-passes-team";
 
 /// A store and the gateways that use it.
 pub(super) struct Site {
@@ -27,7 +27,7 @@
     directory: PathBuf,
 }
 
-/// What the interface answered.
+/// Answer of the operators' interface.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Reply {
     pub(super) status: StatusCode,
@@ -42,9 +42,14 @@
         let number = SITES.fetch_add(1, Ordering::Relaxed);
         let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
         let directory = directory.join(format!("site-{}-{number}", std::process::id()));
-        std::fs::create_dir_all(&directory).expect("a directory can be made");
-        for (file, token) in [("first", OPERATOR), ("second", SECOND), ("peers", "peers")] {
-            std::fs::write(directory.join(file), format!("{token}\n")).expect("a file can be made");
+        std::fs::create_dir_all(&directory).expect("the directory can be created");
+        for (file, token) in [
+            ("first", OPERATOR_TOKEN),
+            ("second", SECOND_OPERATOR_TOKEN),
+            ("peers", "peers"),
+        ] {
+            std::fs::write(directory.join(file), format!("{token}\n"))
+                .expect("the file can be written");
         }
         let free = "127.9.0.2:0".parse().expect("an address");
         let store = Store::start(free, StoreSettings::default()).await;
@@ -54,12 +59,12 @@
             directory,
         };
         for index in 0..count {
-            site.add(&format!("entry-{index}")).await;
+            site.add_gateway(&format!("entry-{index}")).await;
         }
         site
     }
 
-    async fn add(&mut self, name: &str) {
+    async fn add_gateway(&mut self, name: &str) {
         let seeds: Vec<SocketAddr> = self.gateways.iter().map(Running::peers).collect();
         let settings = self.settings(name, &seeds);
         let gateway = Running::start(settings).await;
@@ -83,10 +88,10 @@
                 { "name": "second", "token-file": file("second") },
             ],
         });
-        parse_settings("test", &document.to_string()).expect("the settings are fine")
+        parse_settings("test", &document.to_string()).expect("the settings are valid")
     }
 
-    /// Calls the operators' interface of gateway number `index`.
+    /// Calls the operators' interface of the gateway at `index`.
     pub(super) async fn call(
         &self,
         index: usize,
@@ -110,8 +115,8 @@
         Reply::read(response).await
     }
 
-    /// Starts a process that owns `shard` and answers as `answer` says.
-    pub(super) fn own(&self, shard: &str, answer: fn(&Request) -> Answer) -> Handle {
+    /// Starts a scheduler process that owns `shard` and answers requests with `answer`.
+    pub(super) fn start_owner(&self, shard: &str, answer: fn(&Request) -> Answer) -> Handle {
         let identity = Identity {
             name: format!("owner-of-{shard}"),
             zone: "odd".to_owned(),
@@ -139,25 +144,25 @@
     }
 
     pub(super) async fn get(&self, index: usize, path: &str) -> Reply {
-        self.call(index, OPERATOR, Method::GET, path, &Value::Null)
+        self.call(index, OPERATOR_TOKEN, Method::GET, path, &Value::Null)
             .await
     }
 
     pub(super) async fn apply(&self, index: usize, from: u64, document: &Value) -> Reply {
         let path = format!("declarations?from={from}");
-        self.call(index, OPERATOR, Method::PUT, &path, document)
+        self.call(index, OPERATOR_TOKEN, Method::PUT, &path, document)
             .await
     }
 
-    pub(super) async fn zone(&self, index: usize, zone: &str, state: &str) -> Reply {
+    pub(super) async fn set_zone(&self, index: usize, zone: &str, state: &str) -> Reply {
         let path = format!("zones/{zone}");
         let order = json!({ "state": state });
-        self.call(index, OPERATOR, Method::POST, &path, &order)
+        self.call(index, OPERATOR_TOKEN, Method::POST, &path, &order)
             .await
     }
 
-    /// Declarations that the store holds.
-    pub(super) fn accepted(&self) -> Value {
+    /// Declarations in the store; null if there are none.
+    pub(super) fn stored_declarations(&self) -> Value {
         let value = self.store.peek("verbenahitch/declarations");
         value.map_or(Value::Null, |value| {
             serde_json::from_slice(&value).expect("the store holds a document")
@@ -168,7 +173,7 @@
         for gateway in self.gateways {
             gateway.stop().await;
         }
-        std::fs::remove_dir_all(&self.directory).expect("the directory is there");
+        std::fs::remove_dir_all(&self.directory).expect("the directory can be removed");
     }
 }
 
@@ -177,7 +182,7 @@
         let status = response.status();
         let retry_after = response.headers().get("Retry-After");
         let retry_after = retry_after.map(|value| value.to_str().expect("text").to_owned());
-        let text = response.text().await.expect("the answer is whole");
+        let text = response.text().await.expect("the answer is complete");
         Self {
             status,
             body: serde_json::from_str(&text).expect("the answer is JSON"),
@@ -186,7 +191,9 @@
     }
 
     pub(super) fn error(&self) -> &str {
-        self.body["error"].as_str().expect("the answer is an error")
+        self.body["error"]
+            .as_str()
+            .expect("the answer has an error text")
     }
 }
 
@@ -210,7 +217,7 @@
         })
     };
     json!({
-        "teams": { "markets": team(MARKETS), "passes": team(PASSES) },
+        "teams": { "markets": team(MARKETS_TOKEN), "passes": team(PASSES_TOKEN) },
         "profiles": { "recalculation": profile("markets"), "settlement": profile("passes") },
         "zones": { "odd": { "state": "in" }, "even": { "state": "in" } },
     })
--- a/testsuite/tests/testsuite/membership/mod.rs
+++ b/testsuite/tests/testsuite/membership/mod.rs
@@ -1,4 +1,4 @@
-//! Peers, relay of declarations, permits and ownership.
+//! Peers, relay of declarations, permits, shard ownership and the operators' interface.
 
 mod gateway;
 mod network;
--- a/testsuite/tests/testsuite/membership/network.rs
+++ b/testsuite/tests/testsuite/membership/network.rs
@@ -1,7 +1,7 @@
-//! Processes on loopback whose connections can be cut or silenced.
+//! Processes on loopback whose connections can be partitioned or silenced.
 //!
 //! Each process has a loopback address of its own, and the others reach it
-//! through a forwarder, which knows both ends of every connection by them.
+//! through a forwarder, which identifies both ends of a connection by address.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -19,8 +19,8 @@
 use verbenahitch::port::{Clock, SystemClock};
 use verbenahitch::settings::{PeerSettings, Seed};
 
-/// Longest time that a condition may take, so that a failing test ends.
-pub(super) const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of each wait, so that a failing test ends.
+pub(super) const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 const TOKEN: &str = "peers-of-the-test";
 
@@ -42,25 +42,25 @@
 }
 
 struct Faults {
-    /// Pairs of addresses between which nothing passes, in either direction.
-    cut: ArcSwap<Vec<(IpAddr, IpAddr)>>,
-    /// Connections with a lower number pass nothing.
-    silent_below: AtomicU64,
-    opened: AtomicU64,
+    /// Pairs of addresses between which nothing is forwarded, in either direction.
+    blocked: ArcSwap<Vec<(IpAddr, IpAddr)>>,
+    /// Number of the first connection that is not silenced.
+    first_open: AtomicU64,
+    connection_count: AtomicU64,
     meter: fn(usize),
 }
 
 impl Network {
     pub(super) fn new(heartbeat_ms: u64) -> Self {
-        Self::metered(heartbeat_ms, |_| ())
+        Self::with_meter(heartbeat_ms, |_| ())
     }
 
-    /// Creates a network that tells `meter` the bytes of each write.
-    pub(super) fn metered(heartbeat_ms: u64, meter: fn(usize)) -> Self {
+    /// Creates a network that calls `meter` with the byte count of each read.
+    pub(super) fn with_meter(heartbeat_ms: u64, meter: fn(usize)) -> Self {
         let faults = Faults {
-            cut: ArcSwap::default(),
-            silent_below: AtomicU64::new(0),
-            opened: AtomicU64::new(0),
+            blocked: ArcSwap::default(),
+            first_open: AtomicU64::new(0),
+            connection_count: AtomicU64::new(0),
             meter,
         };
         Self {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Starts process number `number` with `seeds` to greet.
+    /// Starts process `number`, which greets `seeds`.
     pub(super) fn start(&self, number: u8, zone: &str, role: Role, seeds: &[&Process]) -> Process {
         self.start_with(number, zone, role, seeds, TOKEN, 1)
     }
@@ -87,7 +87,7 @@
         let name = format!("process-{number}");
         let listen = SocketAddr::new(address(number), 0);
         let listener = TcpListener::bind(listen).expect("loopback addresses are free");
-        let front = self.forward(listener.local_addr().expect("it is bound"));
+        let front = self.start_forwarder(listener.local_addr().expect("the listener is bound"));
         let identity = Identity {
             name: name.clone(),
             zone: zone.to_owned(),
@@ -128,45 +128,58 @@
         self.clock.now()
     }
 
-    /// Lets nothing pass between the processes of `left` and those of `right`.
-    pub(super) fn cut(&self, left: &[u8], right: &[u8]) {
+    /// Blocks all traffic between the processes of `left` and those of `right`.
+    pub(super) fn partition(&self, left: &[u8], right: &[u8]) {
         let pairs = left
             .iter()
             .flat_map(|l| right.iter().map(|r| (address(*l), address(*r))));
-        self.faults.cut.store(Arc::new(pairs.collect()));
+        self.faults.blocked.store(Arc::new(pairs.collect()));
     }
 
-    /// Lets everything pass again, over connections old and new.
+    /// Ends the partition; connections that lost bytes stay silent.
     pub(super) fn heal(&self) {
-        self.faults.cut.store(Arc::default());
+        self.faults.blocked.store(Arc::default());
     }
 
-    /// Lets nothing pass over the connections that are open now; new ones work.
-    pub(super) fn silence_open(&self) {
-        let opened = self.faults.opened.load(Ordering::SeqCst);
-        self.faults.silent_below.store(opened, Ordering::SeqCst);
+    /// Blocks all traffic on the connections that are open now; new ones work.
+    pub(super) fn silence_connections(&self) {
+        let count = self.faults.connection_count.load(Ordering::SeqCst);
+        self.faults.first_open.store(count, Ordering::SeqCst);
     }
 
-    fn forward(&self, to: SocketAddr) -> SocketAddr {
+    fn start_forwarder(&self, to: SocketAddr) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-        let front = listener.local_addr().expect("it is bound");
-        listener.set_nonblocking(true).expect("it can be polled");
-        let listener = tokio::net::TcpListener::from_std(listener).expect("it can be polled");
+        let front = listener.local_addr().expect("the listener is bound");
+        listener
+            .set_nonblocking(true)
+            .expect("the listener can be polled");
+        let listener =
+            tokio::net::TcpListener::from_std(listener).expect("the listener can be polled");
         let faults = Arc::clone(&self.faults);
         tokio::spawn(async move {
             while let Ok((stream, from)) = listener.accept().await {
-                let number = faults.opened.fetch_add(1, Ordering::SeqCst);
-                let Ok(onward) = TcpStream::connect(to).await else {
+                let number = faults.connection_count.fetch_add(1, Ordering::SeqCst);
+                let Ok(target) = TcpStream::connect(to).await else {
                     continue;
                 };
-                let passes = {
+                let is_open = {
                     let faults = Arc::clone(&faults);
-                    move || faults.passes(number, from.ip(), to.ip())
+                    move || faults.is_open(number, from.ip(), to.ip())
                 };
                 let (read, write) = stream.into_split();
-                let (far_read, far_write) = onward.into_split();
-                tokio::spawn(pump(read, far_write, Arc::clone(&faults), passes.clone()));
-                tokio::spawn(pump(far_read, write, Arc::clone(&faults), passes));
+                let (target_read, target_write) = target.into_split();
+                tokio::spawn(forward_bytes(
+                    read,
+                    target_write,
+                    Arc::clone(&faults),
+                    is_open.clone(),
+                ));
+                tokio::spawn(forward_bytes(
+                    target_read,
+                    write,
+                    Arc::clone(&faults),
+                    is_open,
+                ));
             }
         });
         front
@@ -174,32 +187,32 @@
 }
 
 impl Faults {
-    fn passes(&self, number: u64, from: IpAddr, to: IpAddr) -> bool {
-        let cut = self.cut.load();
-        let is_cut = cut
+    fn is_open(&self, number: u64, from: IpAddr, to: IpAddr) -> bool {
+        let blocked = self.blocked.load();
+        let is_blocked = blocked
             .iter()
             .any(|pair| *pair == (from, to) || *pair == (to, from));
-        !is_cut && number >= self.silent_below.load(Ordering::SeqCst)
+        !is_blocked && number >= self.first_open.load(Ordering::SeqCst)
     }
 }
 
-/// Passes bytes on; what arrives while nothing passes is swallowed.
-async fn pump(
+/// Forwards bytes and drops those that arrive while the connection is blocked.
+async fn forward_bytes(
     mut read: OwnedReadHalf,
     mut write: OwnedWriteHalf,
     faults: Arc<Faults>,
-    passes: impl Fn() -> bool,
+    is_open: impl Fn() -> bool,
 ) {
     let mut buffer = vec![0; 64 << 10];
-    let mut broken = false;
+    let mut has_gap = false;
     while let Ok(count) = read.read(&mut buffer).await {
         if count == 0 {
             break;
         }
         (faults.meter)(count);
-        // A stream that lost bytes stays silent, since it makes no sense any more.
-        broken |= !passes();
-        if !broken && write.write_all(&buffer[..count]).await.is_err() {
+        // A stream with a gap cannot be decoded, so nothing more is forwarded on it.
+        has_gap |= !is_open();
+        if !has_gap && write.write_all(&buffer[..count]).await.is_err() {
             break;
         }
     }
@@ -210,25 +223,25 @@
 }
 
 /// Waits until `condition` holds.
-pub(super) async fn until(what: &str, condition: impl Fn() -> bool) {
-    let waited = tokio::time::timeout(PATIENCE, async {
+pub(super) async fn wait_until(what: &str, condition: impl Fn() -> bool) {
+    let waited = tokio::time::timeout(WAIT_TIMEOUT, async {
         while !condition() {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     });
-    assert!(waited.await.is_ok(), "never happened: {what}");
+    assert!(waited.await.is_ok(), "timed out waiting until {what}");
 }
 
 impl Process {
-    /// Record that this process has of `other`.
-    pub(super) fn sees(&self, other: &Process) -> Option<Member> {
+    /// Record that this process has of `other`, live or lost.
+    pub(super) fn record_of(&self, other: &Process) -> Option<Member> {
         let members = self.handle.members();
         members.iter().find(|m| m.name == other.name).cloned()
     }
 
-    /// Whether `other` was heard lately.
-    pub(super) fn hears(&self, other: &Process) -> bool {
-        let record = self.sees(other);
+    /// Returns whether `other` is live by the record that this process has.
+    pub(super) fn sees_live(&self, other: &Process) -> bool {
+        let record = self.record_of(other);
         record.is_some_and(|record| record.is_live(self.handle.timeout_ms()))
     }
 
--- a/testsuite/tests/testsuite/membership/ownership.rs
+++ b/testsuite/tests/testsuite/membership/ownership.rs
@@ -1,4 +1,4 @@
-//! Which scheduler takes or hands over a shard.
+//! Which scheduler acquires or hands over a shard.
 
 use test_case::test_case;
 use verbenahitch::domain::ShardId;
@@ -45,8 +45,8 @@
         .collect()
 }
 
-/// Names in the order in which they would take the shard; those that would not are left out.
-fn order(shard: &ShardId, members: &[Member]) -> Vec<String> {
+/// Names of the schedulers that would acquire the shard, by increasing delay.
+fn acquisition_order(shard: &ShardId, members: &[Member]) -> Vec<String> {
     let delays = choices(shard, members)
         .into_iter()
         .filter_map(|(name, choice)| match choice {
@@ -57,7 +57,11 @@
     let mut delays: Vec<(u64, String)> = delays.collect();
     delays.sort();
     let distinct: std::collections::BTreeSet<u64> = delays.iter().map(|(d, _)| *d).collect();
-    assert_eq!(distinct.len(), delays.len(), "no two at once: {delays:?}");
+    assert_eq!(
+        distinct.len(),
+        delays.len(),
+        "delays are not distinct: {delays:?}"
+    );
     delays.into_iter().map(|(_, name)| name).collect()
 }
 
@@ -70,7 +74,7 @@
 }
 
 #[test]
-fn exactly_one_scheduler_takes_a_free_shard_at_once() {
+fn exactly_one_scheduler_acquires_a_free_shard_without_delay() {
     for index in 0..64 {
         let now = choices(&shard("north", index), &zone_of_four());
         let now = now.iter().filter(|(_, choice)| *choice == Choice::Now);
@@ -95,36 +99,36 @@
 }
 
 #[test]
-fn the_order_of_the_others_stays_when_one_is_gone() {
+fn losing_a_scheduler_keeps_the_order_of_the_others() {
     let members = zone_of_four();
     for index in 0..16 {
         let shard = shard("north", index);
-        let before = order(&shard, &members);
-        let mut less = members.clone();
-        less.retain(|member| member.name != before[0]);
-        assert_eq!(order(&shard, &less), before[1..]);
+        let before = acquisition_order(&shard, &members);
+        let mut remaining = members.clone();
+        remaining.retain(|member| member.name != before[0]);
+        assert_eq!(acquisition_order(&shard, &remaining), before[1..]);
     }
 }
 
-struct Situation {
+struct AcquisitionCase {
     change: fn(&mut Vec<Member>),
     first: Option<&'static str>,
 }
 
-fn alone(members: &mut Vec<Member>) {
+fn keep_only_s0(members: &mut Vec<Member>) {
     members.retain(|member| member.name == "s0");
 }
 
-#[test_case(Situation { change: |m| alone(m), first: Some("s0") }; "the only one")]
-#[test_case(Situation { change: |m| { alone(m); m.push(scheduler("away", "south", &[])); }, first: Some("s0") }; "the own zone before others")]
-#[test_case(Situation { change: |m| { alone(m); m[0].age_ms = 9_000; m.push(scheduler("away", "south", &[])); }, first: Some("away") }; "another zone when the own has none")]
-#[test_case(Situation { change: |m| { alone(m); m[0].leaving = true; m.push(scheduler("back", "north", &[])); }, first: Some("back") }; "not one that leaves")]
-#[test_case(Situation { change: |m| { alone(m); m.push(scheduler("owner", "north", &["north-0"])); }, first: None }; "not from a live owner")]
-#[test_case(Situation { change: |m| { alone(m); m.push(Member { age_ms: 9_000, ..scheduler("owner", "north", &["north-0"]) }); }, first: Some("s0") }; "from an owner that is gone")]
-#[test_case(Situation { change: |m| { alone(m); m.push(Member { role: Role::Gateway, ..scheduler("gateway", "north", &[]) }); }, first: Some("s0") }; "gateways own nothing")]
-fn shards_are_taken_in_order(situation: Situation) {
+#[test_case(AcquisitionCase { change: |m| keep_only_s0(m), first: Some("s0") }; "only one scheduler")]
+#[test_case(AcquisitionCase { change: |m| { keep_only_s0(m); m.push(scheduler("away", "south", &[])); }, first: Some("s0") }; "own zone before others")]
+#[test_case(AcquisitionCase { change: |m| { keep_only_s0(m); m[0].age_ms = 9_000; m.push(scheduler("away", "south", &[])); }, first: Some("away") }; "another zone when the own has no live scheduler")]
+#[test_case(AcquisitionCase { change: |m| { keep_only_s0(m); m[0].leaving = true; m.push(scheduler("back", "north", &[])); }, first: Some("back") }; "not a leaving scheduler")]
+#[test_case(AcquisitionCase { change: |m| { keep_only_s0(m); m.push(scheduler("owner", "north", &["north-0"])); }, first: None }; "no scheduler while the owner is live")]
+#[test_case(AcquisitionCase { change: |m| { keep_only_s0(m); m.push(Member { age_ms: 9_000, ..scheduler("owner", "north", &["north-0"]) }); }, first: Some("s0") }; "after the owner is lost")]
+#[test_case(AcquisitionCase { change: |m| { keep_only_s0(m); m.push(Member { role: Role::Gateway, ..scheduler("gateway", "north", &[]) }); }, first: Some("s0") }; "not a gateway")]
+fn the_expected_scheduler_acquires_a_shard_first(case: AcquisitionCase) {
     let mut members = zone_of_four();
-    (situation.change)(&mut members);
+    (case.change)(&mut members);
     let live = |member: &Member| {
         member.role == Role::Scheduler && member.is_live(TIMEOUT_MS) && !member.leaving
     };
@@ -136,26 +140,26 @@
     };
     let able = members.iter().filter(|m| live(m) && m.shards.is_empty());
     let first = able.filter(|m| delay(m).is_some()).min_by_key(delay);
-    assert_eq!(first.map(|member| member.name.as_str()), situation.first);
+    assert_eq!(first.map(|member| member.name.as_str()), case.first);
 }
 
-struct Balance {
-    mine: &'static [&'static str],
-    theirs: &'static [&'static str],
-    zone: &'static str,
-    hands_over: Option<&'static str>,
+struct BalanceCase {
+    own_shards: &'static [&'static str],
+    other_shards: &'static [&'static str],
+    other_zone: &'static str,
+    handed_over: Option<&'static str>,
 }
 
-#[test_case(Balance { mine: &["north-0", "north-1"], theirs: &[], zone: "north", hands_over: Some("north-0") }; "two against none")]
-#[test_case(Balance { mine: &["north-0"], theirs: &[], zone: "north", hands_over: None }; "one against none")]
-#[test_case(Balance { mine: &["north-0", "north-1"], theirs: &["north-2"], zone: "north", hands_over: None }; "two against one")]
-#[test_case(Balance { mine: &["south-0"], theirs: &[], zone: "south", hands_over: Some("south-0") }; "a shard goes home")]
-#[test_case(Balance { mine: &["south-0"], theirs: &[], zone: "north", hands_over: None }; "a shard whose zone has no scheduler stays")]
-fn surplus_shards_are_handed_over(case: Balance) {
+#[test_case(BalanceCase { own_shards: &["north-0", "north-1"], other_shards: &[], other_zone: "north", handed_over: Some("north-0") }; "two shards against none")]
+#[test_case(BalanceCase { own_shards: &["north-0"], other_shards: &[], other_zone: "north", handed_over: None }; "one shard against none")]
+#[test_case(BalanceCase { own_shards: &["north-0", "north-1"], other_shards: &["north-2"], other_zone: "north", handed_over: None }; "two shards against one")]
+#[test_case(BalanceCase { own_shards: &["south-0"], other_shards: &[], other_zone: "south", handed_over: Some("south-0") }; "a shard returns to its own zone")]
+#[test_case(BalanceCase { own_shards: &["south-0"], other_shards: &[], other_zone: "north", handed_over: None }; "a shard whose zone has no scheduler stays")]
+fn surplus_shards_are_handed_over(case: BalanceCase) {
     let members = [
-        scheduler("me", "north", case.mine),
-        scheduler("other", case.zone, case.theirs),
+        scheduler("me", "north", case.own_shards),
+        scheduler("other", case.other_zone, case.other_shards),
     ];
     let handed = surplus("me", &members, TIMEOUT_MS);
-    assert_eq!(handed.as_deref(), case.hands_over);
+    assert_eq!(handed.as_deref(), case.handed_over);
 }
--- a/testsuite/tests/testsuite/membership/peers.rs
+++ b/testsuite/tests/testsuite/membership/peers.rs
@@ -5,11 +5,11 @@
 use verbenahitch::peer::{OwnedShard, Role};
 use verbenahitch::scheduler::{Answer, Request, ShardStatus, SubmitError};
 
-use super::network::{Network, Process, declarations, until};
+use super::network::{Network, Process, declarations, wait_until};
 
 const HEARTBEAT_MS: u64 = 40;
 
-/// A chain: each process knows only the one before it.
+/// Starts `count` processes, each with only the one before it as a seed.
 fn chain(network: &Network, count: u8) -> Vec<Process> {
     let mut processes: Vec<Process> = Vec::new();
     for number in 1..=count {
@@ -21,40 +21,49 @@
     processes
 }
 
-async fn acquainted(processes: &[Process]) {
+async fn wait_until_all_live(processes: &[Process]) {
     for process in processes {
         for other in processes {
-            until("all processes hear each other", || process.hears(other)).await;
+            wait_until("all processes are live to each other", || {
+                process.sees_live(other)
+            })
+            .await;
         }
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn processes_learn_of_each_other_through_others() {
+async fn processes_discover_each_other_through_relayed_records() {
     let network = Network::new(HEARTBEAT_MS);
     let processes = chain(&network, 5);
-    acquainted(&processes).await;
+    wait_until_all_live(&processes).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_process_with_another_token_learns_nothing() {
+async fn a_process_with_a_wrong_token_receives_nothing() {
     let network = Network::new(HEARTBEAT_MS);
     let first = network.start(1, "odd", Role::Scheduler, &[]);
     first.current.advance(Arc::new(declarations(3, &["odd"])));
-    let stranger = network.start_with(2, "odd", Role::Scheduler, &[&first], "guessed", 1);
-    let friend = network.start(3, "odd", Role::Scheduler, &[&first]);
-    until("the friend has the declarations", || friend.revision() == 3).await;
-    until("both hear each other", || first.hears(&friend)).await;
-    assert_eq!(stranger.revision(), 0);
-    assert_eq!(first.sees(&stranger), None);
-    assert_eq!(stranger.sees(&first), None);
+    let rejected = network.start_with(2, "odd", Role::Scheduler, &[&first], "guessed", 1);
+    let accepted = network.start(3, "odd", Role::Scheduler, &[&first]);
+    wait_until("the accepted process has the declarations", || {
+        accepted.revision() == 3
+    })
+    .await;
+    wait_until("the accepted process is live at the first one", || {
+        first.sees_live(&accepted)
+    })
+    .await;
+    assert_eq!(rejected.revision(), 0);
+    assert_eq!(first.record_of(&rejected), None);
+    assert_eq!(rejected.record_of(&first), None);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_owner_answers_what_it_is_asked() {
+async fn a_request_for_a_shard_is_answered_by_its_owner() {
     let network = Network::new(HEARTBEAT_MS);
     let mut processes = chain(&network, 3);
-    acquainted(&processes).await;
+    wait_until_all_live(&processes).await;
     let mut owner = processes.remove(2);
     let shard = OwnedShard {
         shard: "odd-0".to_owned(),
@@ -63,10 +72,10 @@
         running: 0,
     };
     owner.handle.set_shards(vec![shard.clone()]);
-    let asker = &processes[0];
-    until("the owner is known", || {
-        asker
-            .sees(&owner)
+    let requester = &processes[0];
+    wait_until("the owner is known", || {
+        requester
+            .record_of(&owner)
             .is_some_and(|m| m.shards == [shard.clone()])
     })
     .await;
@@ -80,16 +89,16 @@
         workers: Vec::new(),
         pressures: Vec::new(),
     });
-    let answering = answer.clone();
+    let sent = answer.clone();
     let serve = tokio::spawn(async move {
-        let incoming = owner.requests.recv().await.expect("a request arrives");
+        let incoming = owner.requests.recv().await.expect("the request arrives");
         assert!(matches!(incoming.request, Request::Shard));
-        incoming.reply.send(answering).expect("somebody waits");
+        incoming.reply.send(sent).expect("the requester waits");
         owner
     });
-    assert_eq!(asker.handle.ask("odd-0", Request::Shard).await, answer);
+    assert_eq!(requester.handle.ask("odd-0", Request::Shard).await, answer);
     serve.await.expect("the owner has answered");
-    let unknown = asker.handle.ask("odd-1", Request::Shard).await;
+    let unknown = requester.handle.ask("odd-1", Request::Shard).await;
     assert!(matches!(
         unknown,
         Answer::Refused(SubmitError::Unavailable { .. })
@@ -97,10 +106,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_owner_that_drops_the_request_leaves_it_unclear() {
+async fn a_request_that_its_owner_drops_has_an_unknown_outcome() {
     let network = Network::new(HEARTBEAT_MS);
     let mut processes = chain(&network, 2);
-    acquainted(&processes).await;
+    wait_until_all_live(&processes).await;
     let mut owner = processes.remove(1);
     let shard = OwnedShard {
         shard: "odd-0".to_owned(),
@@ -109,16 +118,18 @@
         running: 0,
     };
     owner.handle.set_shards(vec![shard]);
-    let asker = &processes[0];
-    until("the owner is known", || {
-        asker.sees(&owner).is_some_and(|m| !m.shards.is_empty())
+    let requester = &processes[0];
+    wait_until("the owner is known", || {
+        requester
+            .record_of(&owner)
+            .is_some_and(|m| !m.shards.is_empty())
     })
     .await;
     let drop = tokio::spawn(async move {
         drop(owner.requests.recv().await);
         owner
     });
-    let answer = asker.handle.ask("odd-0", Request::Shard).await;
+    let answer = requester.handle.ask("odd-0", Request::Shard).await;
     assert!(matches!(
         answer,
         Answer::Refused(SubmitError::Unclear { .. })
@@ -130,13 +141,13 @@
 async fn connections_that_go_silent_are_replaced() {
     let network = Network::new(HEARTBEAT_MS);
     let processes = chain(&network, 4);
-    acquainted(&processes).await;
-    network.silence_open();
+    wait_until_all_live(&processes).await;
+    network.silence_connections();
     processes[0]
         .current
         .advance(Arc::new(declarations(9, &["odd"])));
     for process in &processes {
-        until("the revision arrives over new connections", || {
+        wait_until("the revision arrives over new connections", || {
             process.revision() == 9
         })
         .await;
@@ -144,19 +155,22 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_restarted_process_replaces_its_earlier_self() {
+async fn a_restarted_process_replaces_its_earlier_incarnation() {
     let network = Network::new(HEARTBEAT_MS);
     let first = network.start(1, "odd", Role::Scheduler, &[]);
     let earlier = network.start_with(2, "odd", Role::Scheduler, &[&first], "peers-of-the-test", 5);
-    until("the earlier process is heard", || first.hears(&earlier)).await;
-    let old = earlier.handle.address();
+    wait_until("the earlier incarnation is live", || {
+        first.sees_live(&earlier)
+    })
+    .await;
+    let old_address = earlier.handle.address();
     earlier.handle.clone().stop().await;
     // The wall clock of the host was set back between the two starts.
     let later = network.start_with(2, "odd", Role::Scheduler, &[&first], "peers-of-the-test", 4);
-    until("the later process is heard at its address", || {
+    wait_until("the later incarnation is live at its address", || {
         first
-            .sees(&later)
-            .is_some_and(|m| m.address != old && m.incarnation > 5 && !m.leaving)
+            .record_of(&later)
+            .is_some_and(|m| m.address != old_address && m.incarnation > 5 && !m.leaving)
     })
     .await;
 }
--- a/testsuite/tests/testsuite/membership/relay.rs
+++ b/testsuite/tests/testsuite/membership/relay.rs
@@ -1,4 +1,6 @@
-//! Declarations reach every process, whoever is cut off, and never go back.
+//! Relay of declarations, permits and session renewals while zones are cut off.
+//!
+//! Every process receives the newest declarations, and its revision never decreases.
 
 use std::sync::Arc;
 
@@ -16,7 +18,7 @@
 use verbenahitch_standin::fault::Fault;
 use verbenahitch_standin::store::{Settings, Store};
 
-use super::network::{Network, PATIENCE, Process, declarations, until};
+use super::network::{Network, Process, WAIT_TIMEOUT, declarations, wait_until};
 
 const HEARTBEAT_MS: u64 = 40;
 const PERMIT_MS: u64 = 3_000;
@@ -47,15 +49,18 @@
         }
         for process in &region.processes {
             for other in &region.processes {
-                until("all processes hear each other", || process.hears(other)).await;
+                wait_until("all processes are live to each other", || {
+                    process.sees_live(other)
+                })
+                .await;
             }
         }
-        region.change(0).await;
-        region.wait_for(1).await;
+        region.apply_change(0).await;
+        region.wait_for_revision(1).await;
         region
     }
 
-    /// Starts process `number`, in an even or odd zone.
+    /// Starts process `number` in the zone `even` or `odd`.
     fn add(&mut self, number: u8) {
         let zone = ZONES[usize::from(number % 2)];
         let seeds: Vec<&Process> = self.processes.iter().take(1).collect();
@@ -71,8 +76,8 @@
         self.processes.push(process);
     }
 
-    /// Accepts the successor of revision `from`.
-    async fn change(&self, from: u64) {
+    /// Applies a change to revision `from`.
+    async fn apply_change(&self, from: u64) {
         let client = Client::new(&self.store.address().to_string(), 500);
         let author = Author {
             write_id: format!("write-{from}"),
@@ -83,16 +88,16 @@
         accepted.expect("the change is accepted");
     }
 
-    async fn wait_for(&self, revision: u64) {
+    async fn wait_for_revision(&self, revision: u64) {
         for process in &self.processes {
-            until("the revision is in force", || {
+            wait_until("the revision is in force", || {
                 process.revision() == revision
             })
             .await;
         }
     }
 
-    fn permit(&self, permit: &mut Permit, process: &Process) -> Monotonic {
+    fn review_permit(&self, permit: &mut Permit, process: &Process) -> Monotonic {
         permit.review(
             process.handle.store_contact(),
             &process.handle.evidence(),
@@ -115,93 +120,96 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_zone_that_is_cut_from_the_store_learns_through_others() {
+async fn a_zone_without_the_store_receives_changes_from_peers() {
     let region = Region::start().await;
     region.cut_store("odd");
-    region.change(1).await;
-    region.wait_for(2).await;
+    region.apply_change(1).await;
+    region.wait_for_revision(2).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_process_that_starts_in_an_outage_gets_the_newest() {
+async fn a_process_started_in_a_store_outage_receives_the_newest_revision() {
     let mut region = Region::start().await;
-    region.change(1).await;
-    region.wait_for(2).await;
+    region.apply_change(1).await;
+    region.wait_for_revision(2).await;
     region.store.stop();
     region.add(5);
-    region.wait_for(2).await;
+    region.wait_for_revision(2).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_zone_that_is_cut_off_catches_up_when_it_is_heard_again() {
+async fn a_partitioned_zone_catches_up_after_the_partition() {
     let region = Region::start().await;
     region.cut_store("odd");
-    region.network.cut(&[1, 3], &[2, 4]);
-    region.change(1).await;
+    region.network.partition(&[1, 3], &[2, 4]);
+    region.apply_change(1).await;
     for process in region.processes.iter().filter(|p| p.zone == "even") {
-        until("the other zone has it", || process.revision() == 2).await;
+        wait_until("the other zone has the revision", || {
+            process.revision() == 2
+        })
+        .await;
     }
     for process in region.processes.iter().filter(|p| p.zone == "odd") {
         assert_eq!(process.revision(), 1);
     }
     region.network.heal();
-    region.wait_for(2).await;
+    region.wait_for_revision(2).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_zone_that_hears_nobody_loses_its_permit_in_time() {
+async fn an_isolated_zone_loses_its_permit_in_time() {
     let region = Region::start().await;
     let process = &region.processes[0];
     let mut permit = Permit::new(PERMIT_MS);
-    until("the permit is given", || {
-        region.permit(&mut Permit::new(PERMIT_MS), process) > region.network.now()
+    wait_until("the permit is given", || {
+        region.review_permit(&mut Permit::new(PERMIT_MS), process) > region.network.now()
     })
     .await;
-    region.permit(&mut permit, process);
+    region.review_permit(&mut permit, process);
     region.cut_store("odd");
-    region.network.cut(&[1, 3], &[2, 4]);
-    let cut = region.network.now();
-    // Evidence was sent for before the cut, so that none lasts longer than this.
-    let latest = cut + PERMIT_MS;
+    region.network.partition(&[1, 3], &[2, 4]);
+    let cut_at = region.network.now();
+    // All evidence was requested before the cut and counts from then, so no permit outlasts this.
+    let latest = cut_at + PERMIT_MS;
     while region.network.now() <= latest + PERMIT_MS {
-        assert!(region.permit(&mut permit, process) <= latest);
+        assert!(region.review_permit(&mut permit, process) <= latest);
         tokio::task::yield_now().await;
     }
     assert!(permit.until() < region.network.now());
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_zone_that_is_cut_from_the_store_keeps_its_permit_through_others() {
+async fn a_zone_without_the_store_keeps_its_permit_through_peers() {
     let region = Region::start().await;
     region.cut_store("odd");
-    let cut = region.network.now();
+    let cut_at = region.network.now();
     let process = &region.processes[0];
-    until("evidence is newer than the cut", || {
-        region.permit(&mut Permit::new(PERMIT_MS), process) > cut + PERMIT_MS
+    wait_until("evidence is newer than the cut", || {
+        region.review_permit(&mut Permit::new(PERMIT_MS), process) > cut_at + PERMIT_MS
     })
     .await;
-    assert!(process.handle.store_contact() <= Some(cut));
+    assert!(process.handle.store_contact() <= Some(cut_at));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_outage_for_everybody_leaves_the_permits() {
+async fn permits_outlast_a_store_outage_until_the_zones_are_partitioned() {
     let region = Region::start().await;
     region.store.stop();
     let stopped = region.network.now();
     for process in &region.processes {
-        until("evidence is newer than the outage", || {
-            let until = region.permit(&mut Permit::new(PERMIT_MS), process);
+        wait_until("evidence is newer than the outage", || {
+            let until = region.review_permit(&mut Permit::new(PERMIT_MS), process);
             until > stopped + 2 * PERMIT_MS
         })
         .await;
     }
-    // One zone cannot know what another accepts that it does not hear.
-    region.network.cut(&[1, 3], &[2, 4]);
-    let cut = region.network.now();
+    // A zone cannot know whether an unreachable zone has accepted a change.
+    region.network.partition(&[1, 3], &[2, 4]);
+    let cut_at = region.network.now();
     for process in &region.processes {
-        until("the permit has lapsed", || {
-            let until = region.permit(&mut Permit::new(PERMIT_MS), process);
-            until < region.network.now() && region.network.now() > cut + PERMIT_MS
+        wait_until("the permit has lapsed", || {
+            let until = region.review_permit(&mut Permit::new(PERMIT_MS), process);
+            until < region.network.now() && region.network.now() > cut_at + PERMIT_MS
         })
         .await;
     }
@@ -218,9 +226,9 @@
     };
     let out = change::set_zone(&client, "odd", ZoneState::Out, &author).await;
     assert_eq!(out.expect("the change is accepted").revision, 2);
-    region.wait_for(2).await;
+    region.wait_for_revision(2).await;
     for process in region.processes.iter().filter(|p| p.zone == "odd") {
-        let until = region.permit(&mut Permit::new(PERMIT_MS), process);
+        let until = region.review_permit(&mut Permit::new(PERMIT_MS), process);
         assert!(until <= region.network.now());
     }
 }
@@ -234,17 +242,17 @@
     }
     let client = Client::new(&region.store.address().to_string(), 500);
     let session = client.create_session("test", 60_000).await;
-    let session = session.expect("the session is made");
+    let session = session.expect("the session is created");
     region.cut_store("odd");
-    let cut = &region.processes[0];
-    assert_eq!(renewed(cut, &session).await, Some(true));
-    assert_eq!(renewed(cut, "no-such-session").await, Some(false));
+    let process = &region.processes[0];
+    assert_eq!(first_renewal(process, &session).await, Some(true));
+    assert_eq!(first_renewal(process, "no-such-session").await, Some(false));
     region.store.stop();
-    assert_eq!(cut.handle.renew(&session).await, None);
+    assert_eq!(process.handle.renew(&session).await, None);
 }
 
-/// Outcome of the first renewal that somebody could carry out.
-async fn renewed(process: &Process, session: &str) -> Option<bool> {
+/// Outcome of the first renewal that a process with the store carried out; `None` on a timeout.
+async fn first_renewal(process: &Process, session: &str) -> Option<bool> {
     let renewal = async {
         loop {
             let outcome = process.handle.renew(session).await;
@@ -253,11 +261,14 @@
             }
         }
     };
-    tokio::time::timeout(PATIENCE, renewal).await.ok().flatten()
+    tokio::time::timeout(WAIT_TIMEOUT, renewal)
+        .await
+        .ok()
+        .flatten()
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn crossed_announcements_never_take_a_revision_back() {
+async fn concurrent_announcements_never_lower_a_revision() {
     const SEED: u64 = 11;
     const REVISIONS: u64 = 40;
     let network = Network::new(HEARTBEAT_MS);
@@ -267,7 +278,10 @@
         processes.push(network.start(number, "odd", Role::Scheduler, &seeds));
     }
     for other in &processes {
-        until("the others are heard", || processes[0].hears(other)).await;
+        wait_until("the other processes are live", || {
+            processes[0].sees_live(other)
+        })
+        .await;
     }
     let observers: Vec<JoinHandle<Vec<u64>>> = processes
         .iter()
@@ -288,10 +302,10 @@
         announcements.push(tokio::spawn(async move { handle.announce().await }));
     }
     for announcement in announcements {
-        announcement.await.expect("it ends");
+        announcement.await.expect("the announcement ends");
     }
     for process in &processes {
-        until("the newest revision arrives", || {
+        wait_until("the newest revision arrives", || {
             process.revision() == REVISIONS
         })
         .await;
@@ -302,11 +316,11 @@
     }
 }
 
-/// Revisions in force in their order, up to `last`.
+/// Revisions as they came into force, up to `last`.
 async fn observe(mut changes: watch::Receiver<u64>, current: Current, last: u64) -> Vec<u64> {
     let mut seen = vec![0];
     while seen.last() != Some(&last) {
-        changes.changed().await.expect("the process lives");
+        changes.changed().await.expect("the process runs");
         changes.borrow_and_update();
         let revision = current.load().revision;
         if seen.last() != Some(&revision) {
--- a/testsuite/tests/testsuite/membership/table.rs
+++ b/testsuite/tests/testsuite/membership/table.rs
@@ -1,4 +1,4 @@
-//! What a process believes of the others, by the order and age of what it hears.
+//! The member table: which records are merged, by their version and age.
 
 use verbenahitch::domain::Monotonic;
 use verbenahitch::membership::{Learnt, Table};
@@ -33,36 +33,36 @@
     }
 }
 
-fn only(table: &Table) -> Testimony {
+fn only_report(table: &Table) -> Testimony {
     let mut all = table.testimonies();
     assert_eq!(all.len(), 1);
     all.remove(0)
 }
 
 #[test]
-fn the_proof_is_the_sending_less_the_age() {
+fn the_proven_time_is_the_send_time_minus_the_age() {
     let mut table = table();
-    let told = Member {
+    let received = Member {
         age_ms: 700,
         ..record(1, 5)
     };
-    assert_eq!(table.learn(told, START), Learnt::Arrived);
-    assert_eq!(only(&table).proven, Some(START - 700));
+    assert_eq!(table.learn(received, START), Learnt::Arrived);
+    assert_eq!(only_report(&table).proven, Some(START - 700));
     let relayed = table.relayed(START + 50);
     assert_eq!(relayed[0].age_ms, 750);
 }
 
 #[test]
-fn a_greeting_proves_nothing_and_is_not_passed_on() {
+fn a_greeting_is_no_evidence_and_is_not_relayed() {
     let mut table = table();
     assert_eq!(table.greeted(record(1, 5), START), Learnt::Arrived);
-    assert_eq!(only(&table).proven, None);
+    assert_eq!(only_report(&table).proven, None);
     assert!(table.relayed(START).is_empty());
     assert_eq!(table.members(START).len(), 1);
 }
 
 #[test]
-fn what_crossed_on_its_way_does_not_replace_what_is_later() {
+fn older_records_that_arrive_late_are_ignored() {
     let mut table = table();
     table.learn(record(2, 5), START);
     assert_eq!(table.learn(record(2, 4), START + 10), Learnt::Nothing);
@@ -73,12 +73,12 @@
         ..record(2, 3)
     };
     assert_eq!(table.beat(beat.pulse(), START + 40), Learnt::Nothing);
-    assert_eq!(only(&table).revision, 5);
-    assert_eq!(only(&table).heard, START);
+    assert_eq!(only_report(&table).revision, 5);
+    assert_eq!(only_report(&table).heard, START);
 }
 
 #[test]
-fn a_beat_renews_what_changes() {
+fn a_heartbeat_updates_the_changing_fields() {
     let mut table = table();
     table.learn(record(1, 5), START);
     let beat = Member {
@@ -87,10 +87,10 @@
         ..record(1, 8)
     };
     assert_eq!(table.beat(beat.pulse(), START + 500), Learnt::Newer);
-    let word = only(&table);
-    assert_eq!(word.revision, 8);
-    assert_eq!(word.store_age_ms, None);
-    assert_eq!(word.proven, Some(START + 470));
+    let report = only_report(&table);
+    assert_eq!(report.revision, 8);
+    assert_eq!(report.store_age_ms, None);
+    assert_eq!(report.proven, Some(START + 470));
     let unknown = Member {
         name: "unknown".to_owned(),
         ..record(1, 8)
@@ -99,23 +99,23 @@
 }
 
 #[test]
-fn who_is_silent_is_gone_once_and_owns_nothing() {
+fn a_silent_process_is_reported_lost_once_and_owns_nothing() {
     let mut table = table();
     table.learn(record(1, 5), START);
     assert!(table.sweep(START + TIMEOUT_MS).is_empty());
     let later = START + TIMEOUT_MS + 1;
     assert_eq!(table.sweep(later).len(), 1);
     assert!(table.sweep(later).is_empty());
-    let gone = &table.members(later)[0];
-    assert!(!gone.is_live(TIMEOUT_MS));
-    assert!(gone.shards.is_empty());
-    assert_eq!(gone.permit_left_ms, 0);
+    let lost = &table.members(later)[0];
+    assert!(!lost.is_live(TIMEOUT_MS));
+    assert!(lost.shards.is_empty());
+    assert_eq!(lost.permit_left_ms, 0);
     assert_eq!(table.learn(record(1, 6), later), Learnt::Arrived);
     assert_eq!(table.members(later)[0].shards.len(), 1);
 }
 
 #[test]
-fn a_record_under_the_own_name_is_never_kept() {
+fn a_record_under_the_own_name_is_never_stored() {
     let mut table = table();
     let own = Member {
         name: "me".to_owned(),
