--- a/testsuite/tests/testsuite/scheduler/daemon.rs
+++ b/testsuite/tests/testsuite/scheduler/daemon.rs
@@ -1,4 +1,4 @@
-//! What the daemon does for a shard: it holds the lock, commits and calls workers.
+//! Simulated daemon of a shard: holds the lock, commits and calls workers.
 
 use std::sync::Arc;
 
@@ -7,11 +7,17 @@
 use verbenahitch::port::SyncRequest;
 use verbenahitch::scheduler::{Batch, CommitError, Input};
 
-use super::world::{Event, LATENCY_MS, OUTAGE_MS, PERMIT_MS, SHARD_LEASE_MS, World, ZONE};
+use super::world::{Event, MAX_LATENCY_MS, OUTAGE_MS, PERMIT_MS, SHARD_LEASE_MS, World, ZONE};
 
 impl World {
-    pub(super) fn sync(&mut self, owner: usize, life: u32, worker: String, request: &SyncRequest) {
-        if self.cuts.contains(&(owner, worker.clone())) {
+    pub(super) fn sync(
+        &mut self,
+        owner: usize,
+        incarnation: u32,
+        worker: String,
+        request: &SyncRequest,
+    ) {
+        if self.partitions.contains(&(owner, worker.clone())) {
             return;
         }
         let host = self.workers.get_mut(&worker).expect("a known worker");
@@ -21,26 +27,30 @@
             Ok(reply) => Input::Synced {
                 worker,
                 seq,
-                sent: Monotonic(self.now.saturating_sub(LATENCY_MS)),
+                sent: Monotonic(self.now.saturating_sub(MAX_LATENCY_MS)),
                 reply,
             },
             Err(error) => Input::SyncFailed { worker, seq, error },
         };
-        for at in self.arrivals() {
-            self.push(at, Event::Input(owner, life, Box::new(input.clone())));
+        for at in self.arrival_times() {
+            self.push(
+                at,
+                Event::Input(owner, incarnation, Box::new(input.clone())),
+            );
         }
     }
 
-    /// What the daemon does to a commit: an answer that was lost is read back.
-    pub(super) fn commit(&mut self, owner: usize, life: u32, epoch: u64, batch: &Batch) {
-        let reached = !self.store.down && !self.owners[owner].cut;
+    /// Commits a batch. The answer may be lost after the effect; the store recognizes the repeat
+    /// by the batch's number.
+    pub(super) fn commit(&mut self, owner: usize, incarnation: u32, epoch: u64, batch: &Batch) {
+        let reachable = !self.store.down && !self.owners[owner].store_unreachable;
         let mut result = Err(CommitError::Unavailable);
-        if reached {
+        if reachable {
             result = self
                 .store
                 .commit(owner, epoch, batch, self.now, &mut self.history);
         }
-        if result.is_ok() && self.rng.random_bool(self.weather.unanswered) {
+        if result.is_ok() && self.rng.random_bool(self.message_faults.unanswered) {
             result = Err(CommitError::Unavailable);
         }
         let input = Input::Committed {
@@ -48,15 +58,15 @@
             result,
         };
         self.push(
-            self.now + LATENCY_MS,
-            Event::Input(owner, life, Box::new(input)),
+            self.now + MAX_LATENCY_MS,
+            Event::Input(owner, incarnation, Box::new(input)),
         );
     }
 
     pub(super) fn renew(&mut self, owner: usize) {
-        let reached = !self.store.down && !self.owners[owner].cut;
-        if !reached {
-            return self.go_on_without_store(owner);
+        let reachable = !self.store.down && !self.owners[owner].store_unreachable;
+        if !reachable {
+            return self.continue_without_store(owner);
         }
         self.feed(owner, Input::Declared(Arc::clone(&self.declared)));
         if self.declared.is_in(ZONE) {
@@ -66,7 +76,7 @@
             None => self.try_acquire(owner),
             Some(epoch) => {
                 if self.store.renew(owner, epoch, self.now, SHARD_LEASE_MS) {
-                    self.owners[owner].renewed = self.now;
+                    self.owners[owner].renewed_at = self.now;
                     let until = Monotonic(self.now + SHARD_LEASE_MS);
                     self.feed(owner, Input::Authority(until));
                 } else {
@@ -77,12 +87,12 @@
         }
     }
 
-    /// Peers say whether the store is down for everybody.
-    pub(super) fn go_on_without_store(&mut self, owner: usize) {
+    /// Extends the permit only if the store is down for all processes, which peers report.
+    pub(super) fn continue_without_store(&mut self, owner: usize) {
         if self.owners[owner].epoch.is_none() {
             return;
         }
-        let until = Monotonic(self.owners[owner].renewed + OUTAGE_MS);
+        let until = Monotonic(self.owners[owner].renewed_at + OUTAGE_MS);
         self.feed(owner, Input::Authority(until));
         if self.store.down && self.declared.is_in(ZONE) {
             self.feed(owner, Input::Permit(Monotonic(self.now + PERMIT_MS)));
@@ -94,7 +104,7 @@
             return;
         };
         self.owners[owner].epoch = Some(epoch);
-        self.owners[owner].renewed = self.now;
+        self.owners[owner].renewed_at = self.now;
         let jobs = self.store.jobs.values().cloned().collect();
         let until = Monotonic(self.now + SHARD_LEASE_MS);
         self.feed(owner, Input::Authority(until));
@@ -107,11 +117,15 @@
     }
 
     pub(super) fn finish_release(&mut self, owner: usize) {
-        let leaving = &self.owners[owner];
-        if !leaving.leaving || !leaving.shard.is_released() || self.store.down || leaving.cut {
+        let process = &self.owners[owner];
+        if !process.is_releasing
+            || !process.shard.is_released()
+            || self.store.down
+            || process.store_unreachable
+        {
             return;
         }
-        self.owners[owner].leaving = false;
+        self.owners[owner].is_releasing = false;
         let settled = self.owners[owner].shard.is_settled();
         if let Some(epoch) = self.owners[owner].epoch.take() {
             self.store.release(owner, epoch, settled);
--- a/testsuite/tests/testsuite/scheduler/declared.rs
+++ b/testsuite/tests/testsuite/scheduler/declared.rs
@@ -1,4 +1,4 @@
-//! Declarations that the tests of a shard use.
+//! Declarations and job specifications for the tests of a shard.
 
 use std::collections::BTreeMap;
 
--- a/testsuite/tests/testsuite/scheduler/fake_store.rs
+++ b/testsuite/tests/testsuite/scheduler/fake_store.rs
@@ -1,13 +1,13 @@
-//! The part of the platform's store that a shard's owner uses, in memory.
+//! In-memory fake of the part of the platform's store that a shard's owner uses.
 
 use std::collections::BTreeMap;
 
 use verbenahitch::domain::{JobId, JobRecord, Millis, ShardId, TaskId};
 use verbenahitch::scheduler::{Batch, CommitError, Write};
 
-use super::history::{History, Seen};
+use super::history::{History, ObservedEvent};
 
-/// Operations that the store takes besides those for the lock and the batch's number.
+/// Maximum number of operations in a batch, besides those for the lock and the batch's number.
 const MAX_OPS: usize = 62;
 
 fn operations(write: &Write) -> usize {
@@ -23,40 +23,41 @@
     pub down: bool,
     pub jobs: BTreeMap<JobId, JobRecord>,
     pub moved: BTreeMap<JobId, (ShardId, JobRecord)>,
-    /// Batches that took effect, with repeats left out.
+    /// Number of batches that were applied, without repeats.
     pub batches: usize,
     holder: Option<usize>,
     epoch: u64,
-    expires: Millis,
+    lease_end: Millis,
     released: bool,
-    newest: (u64, u64),
+    last_batch: (u64, u64),
 }
 
 impl FakeStore {
-    /// Locks the shard if it is free; answers the epoch and whether the last holder released it.
+    /// Locks the shard if it is free; returns the epoch and whether the last holder released the
+    /// lock after it had settled.
     pub fn acquire(&mut self, owner: usize, now: Millis, lease_ms: Millis) -> Option<(u64, bool)> {
-        let free = self.holder.is_none() || now >= self.expires;
+        let free = self.holder.is_none() || now >= self.lease_end;
         if self.down || !free {
             return None;
         }
         let released = self.released;
         self.holder = Some(owner);
         self.epoch += 1;
-        self.expires = now + lease_ms;
+        self.lease_end = now + lease_ms;
         self.released = false;
         Some((self.epoch, released))
     }
 
-    /// Renews the lock; false if it is no longer the caller's.
+    /// Renews the lock; returns false if the caller no longer holds it.
     pub fn renew(&mut self, owner: usize, epoch: u64, now: Millis, lease_ms: Millis) -> bool {
-        if !self.is_held(owner, epoch) || now >= self.expires {
+        if !self.is_held(owner, epoch) || now >= self.lease_end {
             return false;
         }
-        self.expires = now + lease_ms;
+        self.lease_end = now + lease_ms;
         true
     }
 
-    /// Gives the lock up.
+    /// Releases the lock.
     pub fn release(&mut self, owner: usize, epoch: u64, settled: bool) {
         if self.is_held(owner, epoch) {
             self.holder = None;
@@ -64,10 +65,10 @@
         }
     }
 
-    /// Answers again after an outage; leases start anew.
+    /// Ends an outage and extends the current lease of the lock.
     pub fn recover(&mut self, now: Millis, lease_ms: Millis) {
         self.down = false;
-        self.expires = self.expires.max(now + lease_ms);
+        self.lease_end = self.lease_end.max(now + lease_ms);
     }
 
     pub fn commit(
@@ -78,7 +79,7 @@
         now: Millis,
         history: &mut History,
     ) -> Result<(), CommitError> {
-        if self.newest == (epoch, batch.number) {
+        if self.last_batch == (epoch, batch.number) {
             return Ok(());
         }
         if !self.is_held(owner, epoch) {
@@ -86,7 +87,7 @@
         }
         let ops: usize = batch.writes.iter().map(operations).sum();
         assert!(ops <= MAX_OPS, "{ops} operations in one transaction");
-        self.newest = (epoch, batch.number);
+        self.last_batch = (epoch, batch.number);
         self.batches += 1;
         for write in &batch.writes {
             self.apply(write, now, history);
@@ -101,30 +102,30 @@
     fn apply(&mut self, write: &Write, now: Millis, history: &mut History) {
         match write {
             Write::Put(record) => {
-                let before = self.jobs.insert(record.id.clone(), record.clone());
+                let previous = self.jobs.insert(record.id.clone(), record.clone());
                 for (index, checkpoint) in &record.checkpoints {
-                    let seen = Seen::Kept {
+                    let event = ObservedEvent::CheckpointStored {
                         task: TaskId {
                             job: record.id.clone(),
                             index: *index,
                         },
                         progress_ms: checkpoint.progress_ms,
                     };
-                    history.note(now, seen);
+                    history.record(now, event);
                 }
                 for index in 0..record.spec.tasks {
-                    let old = before.as_ref().and_then(|old| old.ended.get(index));
+                    let old = previous.as_ref().and_then(|old| old.ended.get(index));
                     let new = record.ended.get(index);
                     if let Some(outcome) = new.filter(|_| old.is_none()) {
                         let job = record.id.clone();
                         let task = TaskId { job, index };
-                        history.note(now, Seen::Stored { task, outcome });
+                        history.record(now, ObservedEvent::OutcomeStored { task, outcome });
                     }
                 }
             }
             Write::Move { record, to } => {
                 self.jobs.remove(&record.id);
-                history.note(now, Seen::Moved(record.id.clone()));
+                history.record(now, ObservedEvent::Moved(record.id.clone()));
                 let entry = (to.clone(), record.clone());
                 self.moved.insert(record.id.clone(), entry);
             }
--- a/testsuite/tests/testsuite/scheduler/fake_worker.rs
+++ b/testsuite/tests/testsuite/scheduler/fake_worker.rs
@@ -1,4 +1,4 @@
-//! A worker in memory that follows the contract of `port::worker`.
+//! In-memory worker that follows the contract of `port::worker`.
 
 use std::collections::BTreeMap;
 
@@ -8,66 +8,66 @@
     Usage,
 };
 
-use super::history::{History, Seen};
+use super::history::{History, ObservedEvent};
 
-/// Work between two checkpoints.
+/// Interval between two checkpoints, in milliseconds of work.
 const CHECKPOINT_MS: Millis = 400;
-/// Time to stop a task whose lease has lapsed.
+/// Time that it takes to stop a task whose lease has lapsed.
 const LAPSE_MS: Millis = 200;
-/// Time after which a task fails on a worker that fails all.
+/// Time from the start of a failing run to its failure.
 const FAILURE_MS: Millis = 50;
 
 /// Payload of a task that fails wherever it runs.
 pub const FAILING_PAYLOAD: &str = "fail";
 
-struct Live {
+struct ActiveRun {
     task: TaskId,
     resources: Resources,
-    from: Millis,
+    started_at: Millis,
     resumed_ms: Millis,
     run_ms: Millis,
     fails: bool,
-    lease: Millis,
-    evict: Option<Millis>,
+    lease_end: Millis,
+    evict_at: Option<Millis>,
 }
 
-impl Live {
+impl ActiveRun {
     fn progress(&self, at: Millis) -> Millis {
-        (self.resumed_ms + at.saturating_sub(self.from)).min(self.run_ms)
+        (self.resumed_ms + at.saturating_sub(self.started_at)).min(self.run_ms)
     }
 
-    /// How and when it ends if nothing else happens.
+    /// Time and kind of the end if no further command arrives.
     fn next_end(&self) -> (Millis, EndKind) {
-        let done = self.from + self.run_ms - self.resumed_ms;
+        let done = self.started_at + self.run_ms - self.resumed_ms;
         let failed = if self.fails {
-            self.from + FAILURE_MS
+            self.started_at + FAILURE_MS
         } else {
             Millis::MAX
         };
         [
             (done, EndKind::Done),
             (failed, EndKind::Failed),
-            (self.evict.unwrap_or(Millis::MAX), EndKind::Evicted),
-            (self.lease + LAPSE_MS, EndKind::Lapsed),
+            (self.evict_at.unwrap_or(Millis::MAX), EndKind::Evicted),
+            (self.lease_end + LAPSE_MS, EndKind::Lapsed),
         ]
         .into_iter()
         .min_by_key(|(at, _)| *at)
-        .expect("four ends to choose from")
+        .expect("the array of ends is not empty")
     }
 }
 
 pub struct FakeWorker {
     pub host: HostRecord,
-    /// Whether everything that it starts fails.
+    /// Whether every task that it starts fails.
     pub fails: bool,
-    /// Whether it breaks the contract and lets tasks go on without a lease.
-    pub lawless: bool,
-    /// Rises when the worker restarts, which ends all connections.
+    /// Whether it breaks the contract and runs tasks on after their lease has lapsed.
+    pub ignores_leases: bool,
+    /// Number of restarts; each one closes all connections.
     pub boot: u32,
-    born: Millis,
+    booted_at: Millis,
     epoch: u64,
     seq: u64,
-    live: BTreeMap<u64, Live>,
+    active: BTreeMap<u64, ActiveRun>,
     ended: BTreeMap<u64, Ended>,
 }
 
@@ -85,41 +85,41 @@
                 state: HostState::Live,
             },
             fails: false,
-            lawless: false,
+            ignores_leases: false,
             boot: 0,
-            born: 0,
+            booted_at: 0,
             epoch: 0,
             seq: 0,
-            live: BTreeMap::new(),
+            active: BTreeMap::new(),
             ended: BTreeMap::new(),
         }
     }
 
-    /// Lets time pass.
+    /// Ends the runs whose end is due by `now`.
     pub fn advance(&mut self, now: Millis, history: &mut History) {
         while let Some((run, at, kind)) = self.first_end().filter(|(_, at, _)| *at <= now) {
-            self.end(run, at, kind, history);
+            self.end_run(run, at, kind, history);
         }
     }
 
-    /// Loses all that it knew, at once.
+    /// Ends all runs at once and restarts the worker without its state.
     pub fn crash(&mut self, now: Millis, history: &mut History) {
         self.advance(now, history);
-        for (run, live) in std::mem::take(&mut self.live) {
-            let seen = Seen::Ended {
+        for (run, active) in std::mem::take(&mut self.active) {
+            let event = ObservedEvent::Ended {
                 worker: self.host.name.clone(),
                 run,
-                checkpoint_ms: live.progress(now),
-                task: live.task,
+                checkpoint_ms: active.progress(now),
+                task: active.task,
                 kind: None,
             };
-            history.note(now, seen);
+            history.record(now, event);
         }
         let (host, fails) = (self.host.clone(), self.fails);
         *self = Self {
             fails,
             boot: self.boot + 1,
-            born: now,
+            booted_at: now,
             ..Self::new(&host.name, &host.zone, host.capacity)
         };
         self.host = host;
@@ -132,7 +132,7 @@
         history: &mut History,
     ) -> Result<SyncReply, SyncError> {
         self.advance(now, history);
-        let clock = now - self.born + 1;
+        let clock = now - self.booted_at + 1;
         if request.epoch < self.epoch {
             return Err(SyncError::StaleEpoch { epoch: self.epoch });
         }
@@ -144,27 +144,33 @@
         self.seq = request.seq;
         for run in &request.acked {
             if let Some(ended) = self.ended.remove(run) {
-                let seen = Seen::Acked {
+                let event = ObservedEvent::Acked {
                     task: ended.task,
                     run: *run,
                     kind: ended.kind,
                     checkpoint_ms: ended.checkpoint_ms,
                 };
-                history.note(now, seen);
+                history.record(now, event);
             }
         }
         if request.lease_ms > 0 {
-            for live in self.live.values_mut() {
-                live.lease = live.lease.max(now + request.lease_ms);
+            for active in self.active.values_mut() {
+                active.lease_end = active.lease_end.max(now + request.lease_ms);
             }
         }
         for command in &request.commands {
-            self.obey(command, now + request.lease_ms, now, history);
+            self.execute(command, now + request.lease_ms, now, history);
         }
         Ok(self.report(clock, now))
     }
 
-    fn obey(&mut self, command: &Command, lease: Millis, now: Millis, history: &mut History) {
+    fn execute(
+        &mut self,
+        command: &Command,
+        lease_end: Millis,
+        now: Millis,
+        history: &mut History,
+    ) {
         match command {
             Command::Start {
                 task,
@@ -175,34 +181,34 @@
                 payload,
                 ..
             } => {
-                let seen = Seen::Started {
+                let event = ObservedEvent::Started {
                     worker: self.host.name.clone(),
                     run: *run,
                     task: task.clone(),
                     resources: *resources,
                     checkpoint_ms: *checkpoint_ms,
                 };
-                history.note(now, seen);
-                let live = Live {
+                history.record(now, event);
+                let active = ActiveRun {
                     task: task.clone(),
                     resources: *resources,
-                    from: now,
+                    started_at: now,
                     resumed_ms: *checkpoint_ms,
                     run_ms: *run_ms,
                     fails: self.fails || payload == FAILING_PAYLOAD,
-                    lease,
-                    evict: None,
+                    lease_end,
+                    evict_at: None,
                 };
-                self.live.insert(*run, live);
+                self.active.insert(*run, active);
             }
             Command::Evict { run, grace_ms } => {
-                if let Some(live) = self.live.get_mut(run) {
-                    live.evict = live.evict.or(Some(now + grace_ms));
+                if let Some(active) = self.active.get_mut(run) {
+                    active.evict_at = active.evict_at.or(Some(now + grace_ms));
                 }
             }
             Command::Stop { run } => {
-                if self.live.contains_key(run) {
-                    self.end(*run, now, EndKind::Stopped, history);
+                if self.active.contains_key(run) {
+                    self.end_run(*run, now, EndKind::Stopped, history);
                 }
             }
             Command::Throttle { .. } => {}
@@ -210,12 +216,12 @@
     }
 
     fn report(&self, clock: Millis, now: Millis) -> SyncReply {
-        let running = self.live.iter().map(|(run, live)| Running {
-            task: live.task.clone(),
+        let running = self.active.iter().map(|(run, active)| Running {
+            task: active.task.clone(),
             run: *run,
-            resources: live.resources,
-            checkpoint_ms: (live.progress(now) / CHECKPOINT_MS * CHECKPOINT_MS)
-                .max(live.resumed_ms),
+            resources: active.resources,
+            checkpoint_ms: (active.progress(now) / CHECKPOINT_MS * CHECKPOINT_MS)
+                .max(active.resumed_ms),
             share: 1.0,
         });
         SyncReply {
@@ -228,29 +234,29 @@
     }
 
     fn first_end(&self) -> Option<(u64, Millis, EndKind)> {
-        self.live
+        self.active
             .iter()
-            .map(|(run, live)| (*run, live.next_end()))
-            .filter(|(_, (_, kind))| !self.lawless || *kind != EndKind::Lapsed)
+            .map(|(run, active)| (*run, active.next_end()))
+            .filter(|(_, (_, kind))| !self.ignores_leases || *kind != EndKind::Lapsed)
             .map(|(run, (at, kind))| (run, at, kind))
             .min_by_key(|(run, at, _)| (*at, *run))
     }
 
-    fn end(&mut self, run: u64, at: Millis, kind: EndKind, history: &mut History) {
-        let Some(live) = self.live.remove(&run) else {
+    fn end_run(&mut self, run: u64, at: Millis, kind: EndKind, history: &mut History) {
+        let Some(active) = self.active.remove(&run) else {
             return;
         };
-        let checkpoint_ms = live.progress(at);
-        let seen = Seen::Ended {
+        let checkpoint_ms = active.progress(at);
+        let event = ObservedEvent::Ended {
             worker: self.host.name.clone(),
             run,
-            task: live.task.clone(),
+            task: active.task.clone(),
             kind: Some(kind),
             checkpoint_ms,
         };
-        history.note(at, seen);
+        history.record(at, event);
         let ended = Ended {
-            task: live.task,
+            task: active.task,
             run,
             kind,
             checkpoint_ms,
--- a/testsuite/tests/testsuite/scheduler/history.rs
+++ b/testsuite/tests/testsuite/scheduler/history.rs
@@ -1,19 +1,19 @@
-//! What workers and the store saw, and the promises that it is held against.
+//! History of what workers and the store observed, checked against the scheduler's guarantees.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use verbenahitch::domain::{JobId, Millis, Resources, TaskId, TaskOutcome};
 use verbenahitch::port::EndKind;
 
-/// One thing that happened, with its time.
+/// Observed event with its time.
 #[derive(Clone, Debug)]
-pub struct Fact {
+pub struct Observation {
     pub at: Millis,
-    pub seen: Seen,
+    pub event: ObservedEvent,
 }
 
 #[derive(Clone, Debug)]
-pub enum Seen {
+pub enum ObservedEvent {
     Started {
         worker: String,
         run: u64,
@@ -29,17 +29,17 @@
         kind: Option<EndKind>,
         checkpoint_ms: Millis,
     },
-    /// The store holds the outcome of a task.
-    Stored {
+    /// The store has received the outcome of a task.
+    OutcomeStored {
         task: TaskId,
         outcome: TaskOutcome,
     },
-    /// The store holds a checkpoint of a task.
-    Kept {
+    /// The store has received a checkpoint of a task.
+    CheckpointStored {
         task: TaskId,
         progress_ms: Millis,
     },
-    /// A worker was told to forget a run that ended with `kind`.
+    /// The owner acknowledged the end of a run, which its worker then forgets.
     Acked {
         task: TaskId,
         run: u64,
@@ -53,72 +53,76 @@
 }
 
 #[derive(Clone, Debug)]
-struct Life {
+struct Run {
     worker: String,
-    run: u64,
+    number: u64,
     resources: Resources,
-    from: Millis,
-    to: Millis,
+    start: Millis,
+    end: Millis,
     resumed_ms: Millis,
     kind: Option<EndKind>,
     checkpoint_ms: Millis,
 }
 
-/// Record of a session.
+/// Observations of a simulation in the order of their recording.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    pub facts: Vec<Fact>,
+    pub observations: Vec<Observation>,
 }
 
 impl History {
-    pub fn note(&mut self, at: Millis, seen: Seen) {
-        self.facts.push(Fact { at, seen });
+    pub fn record(&mut self, at: Millis, event: ObservedEvent) {
+        self.observations.push(Observation { at, event });
     }
 
     /// Number of runs that were started.
-    pub fn starts(&self) -> usize {
-        self.lives().values().map(Vec::len).sum()
+    pub fn start_count(&self) -> usize {
+        self.runs().values().map(Vec::len).sum()
     }
 
-    /// Violations of the promises, in words.
+    /// Violations of the guarantees, as messages.
     ///
-    /// `unrepeatable` says which tasks are not idempotent, `capacity` is that of each worker.
+    /// `non_idempotent` returns whether a task must not run twice; `capacity` is per worker.
     pub fn violations(
         &self,
-        unrepeatable: impl Fn(&TaskId) -> bool,
+        non_idempotent: impl Fn(&TaskId) -> bool,
         capacity: Resources,
         permit_ms: Millis,
     ) -> Vec<String> {
-        let lives = self.lives();
+        let runs = self.runs();
         let mut found = Vec::new();
-        for (task, lives) in &lives {
-            overlaps(task, lives, &mut found);
-            if unrepeatable(task) {
-                repeats(task, lives, &mut found);
+        for (task, runs) in &runs {
+            overlaps(task, runs, &mut found);
+            if non_idempotent(task) {
+                reruns(task, runs, &mut found);
             }
         }
-        self.lost_progress(&mut found);
+        self.resumes_before_checkpoint(&mut found);
         self.early_acks(&mut found);
         self.starts_after_end(&mut found);
         self.starts_after_zone_out(permit_ms, &mut found);
-        overcommits(&lives, capacity, &mut found);
+        overcommits(&runs, capacity, &mut found);
         found
     }
 
-    /// Tasks that the store says are done and no worker ran to the end.
-    pub fn unfounded(&self) -> Vec<TaskId> {
+    /// Tasks that are stored as done although no worker ran them to their end.
+    pub fn done_without_run(&self) -> Vec<TaskId> {
         let done: BTreeSet<&TaskId> = self
-            .facts
+            .observations
             .iter()
-            .filter_map(|fact| match &fact.seen {
-                Seen::Ended { task, kind, .. } if *kind == Some(EndKind::Done) => Some(task),
+            .filter_map(|observation| match &observation.event {
+                ObservedEvent::Ended { task, kind, .. } if *kind == Some(EndKind::Done) => {
+                    Some(task)
+                }
                 _ => None,
             })
             .collect();
-        self.facts
+        self.observations
             .iter()
-            .filter_map(|fact| match &fact.seen {
-                Seen::Stored { task, outcome } if *outcome == TaskOutcome::Done => Some(task),
+            .filter_map(|observation| match &observation.event {
+                ObservedEvent::OutcomeStored { task, outcome } if *outcome == TaskOutcome::Done => {
+                    Some(task)
+                }
                 _ => None,
             })
             .filter(|task| !done.contains(task))
@@ -126,67 +130,70 @@
             .collect()
     }
 
-    fn lives(&self) -> BTreeMap<TaskId, Vec<Life>> {
-        let mut lives: BTreeMap<TaskId, Vec<Life>> = BTreeMap::new();
-        for fact in &self.facts {
-            match &fact.seen {
-                Seen::Started {
+    fn runs(&self) -> BTreeMap<TaskId, Vec<Run>> {
+        let mut runs: BTreeMap<TaskId, Vec<Run>> = BTreeMap::new();
+        for observation in &self.observations {
+            match &observation.event {
+                ObservedEvent::Started {
                     worker,
                     run,
                     task,
                     resources,
                     checkpoint_ms,
-                } => lives.entry(task.clone()).or_default().push(Life {
+                } => runs.entry(task.clone()).or_default().push(Run {
                     worker: worker.clone(),
-                    run: *run,
+                    number: *run,
                     resources: *resources,
-                    from: fact.at,
-                    to: Millis::MAX,
+                    start: observation.at,
+                    end: Millis::MAX,
                     resumed_ms: *checkpoint_ms,
                     kind: None,
                     checkpoint_ms: *checkpoint_ms,
                 }),
-                Seen::Ended {
+                ObservedEvent::Ended {
                     worker,
                     run,
                     task,
                     kind,
                     checkpoint_ms,
                 } => {
-                    let lives = lives.get_mut(task).expect("a run ends after its start");
-                    let life = lives
+                    let runs = runs.get_mut(task).expect("a run ends after its start");
+                    let started = runs
                         .iter_mut()
-                        .find(|life| life.worker == *worker && life.run == *run)
+                        .find(|started| started.worker == *worker && started.number == *run)
                         .expect("a run ends after its start");
-                    life.to = fact.at;
-                    life.kind = *kind;
-                    life.checkpoint_ms = *checkpoint_ms;
+                    started.end = observation.at;
+                    started.kind = *kind;
+                    started.checkpoint_ms = *checkpoint_ms;
                 }
                 _ => {}
             }
         }
-        for lives in lives.values_mut() {
-            lives.sort_by_key(|life| life.from);
+        for runs in runs.values_mut() {
+            runs.sort_by_key(|run| run.start);
         }
-        lives
+        runs
     }
 
-    /// Work resumes from the newest checkpoint that the store holds, or a newer one.
-    fn lost_progress(&self, found: &mut Vec<String>) {
-        let mut kept = BTreeMap::new();
-        for fact in &self.facts {
-            match &fact.seen {
-                Seen::Kept { task, progress_ms } => {
-                    kept.insert(task, *progress_ms);
+    /// A run must not resume from an older checkpoint than the newest one in the store.
+    fn resumes_before_checkpoint(&self, found: &mut Vec<String>) {
+        let mut stored = BTreeMap::new();
+        for observation in &self.observations {
+            match &observation.event {
+                ObservedEvent::CheckpointStored { task, progress_ms } => {
+                    stored.insert(task, *progress_ms);
                 }
-                Seen::Started {
+                ObservedEvent::Started {
                     task,
                     checkpoint_ms,
                     ..
-                } if kept.get(task).is_some_and(|kept| checkpoint_ms < kept) => {
-                    let kept = kept[task];
+                } if stored
+                    .get(task)
+                    .is_some_and(|stored| checkpoint_ms < stored) =>
+                {
+                    let stored = stored[task];
                     found.push(format!(
-                        "{task} has a checkpoint at {kept} ms of work, resumed from {checkpoint_ms} ms"
+                        "{task} has a checkpoint at {stored} ms of work, resumed from {checkpoint_ms} ms"
                     ));
                 }
                 _ => {}
@@ -194,41 +201,45 @@
         }
     }
 
-    /// Nothing is forgotten by a worker before the store holds what follows from it.
+    /// A worker may forget the end of a run only once the store holds all that is needed from it.
     fn early_acks(&self, found: &mut Vec<String>) {
-        let (mut kept, mut newest) = (BTreeMap::new(), BTreeMap::new());
-        let (mut stored, mut moved) = (BTreeSet::new(), BTreeSet::new());
-        for fact in &self.facts {
-            match &fact.seen {
-                Seen::Started { task, run, .. } => {
-                    newest.insert(task, *run);
+        let (mut checkpoints, mut newest_runs) = (BTreeMap::new(), BTreeMap::new());
+        let (mut outcomes, mut moved) = (BTreeSet::new(), BTreeSet::new());
+        for observation in &self.observations {
+            match &observation.event {
+                ObservedEvent::Started { task, run, .. } => {
+                    newest_runs.insert(task, *run);
                 }
-                Seen::Kept { task, progress_ms } => {
-                    kept.insert(task, *progress_ms);
+                ObservedEvent::CheckpointStored { task, progress_ms } => {
+                    checkpoints.insert(task, *progress_ms);
                 }
-                Seen::Stored { task, .. } => {
-                    stored.insert(task);
+                ObservedEvent::OutcomeStored { task, .. } => {
+                    outcomes.insert(task);
                 }
-                Seen::Moved(job) => {
+                ObservedEvent::Moved(job) => {
                     moved.insert(job);
                 }
-                Seen::Acked {
+                ObservedEvent::Acked {
                     task,
                     run,
                     kind,
                     checkpoint_ms,
                 } => {
-                    let covered = stored.contains(task) || moved.contains(&task.job);
-                    let held = match kind {
+                    let is_stored = outcomes.contains(task) || moved.contains(&task.job);
+                    let is_unneeded = match kind {
                         EndKind::Done => false,
                         EndKind::Evicted | EndKind::Lapsed => {
-                            newest[task] > *run
-                                || kept.get(task).is_some_and(|kept| kept >= checkpoint_ms)
+                            newest_runs[task] > *run
+                                || checkpoints
+                                    .get(task)
+                                    .is_some_and(|stored| stored >= checkpoint_ms)
                         }
                         EndKind::Failed | EndKind::Stopped => true,
                     };
-                    if !covered && !held {
-                        found.push(format!("{task} was {kind:?}, forgotten and not stored"));
+                    if !is_stored && !is_unneeded {
+                        found.push(format!(
+                            "{task} ended as {kind:?}, acknowledged before it was stored"
+                        ));
                     }
                 }
                 _ => {}
@@ -238,12 +249,12 @@
 
     fn starts_after_end(&self, found: &mut Vec<String>) {
         let mut ended = BTreeSet::new();
-        for fact in &self.facts {
-            match &fact.seen {
-                Seen::Stored { task, .. } => {
+        for observation in &self.observations {
+            match &observation.event {
+                ObservedEvent::OutcomeStored { task, .. } => {
                     ended.insert(task);
                 }
-                Seen::Started { task, run, .. } if ended.contains(task) => {
+                ObservedEvent::Started { task, run, .. } if ended.contains(task) => {
                     found.push(format!(
                         "{task} started as {run:x} after its end was stored"
                     ));
@@ -255,12 +266,17 @@
 
     fn starts_after_zone_out(&self, permit_ms: Millis, found: &mut Vec<String>) {
         let mut out = None;
-        for fact in &self.facts {
-            match &fact.seen {
-                Seen::ZoneOut => out = Some(fact.at),
-                Seen::ZoneIn => out = None,
-                Seen::Started { task, .. } if out.is_some_and(|at| fact.at > at + permit_ms) => {
-                    found.push(format!("{task} started at {} in a zone taken out", fact.at));
+        for observation in &self.observations {
+            match &observation.event {
+                ObservedEvent::ZoneOut => out = Some(observation.at),
+                ObservedEvent::ZoneIn => out = None,
+                ObservedEvent::Started { task, .. }
+                    if out.is_some_and(|at| observation.at > at + permit_ms) =>
+                {
+                    found.push(format!(
+                        "{task} started at {} in a zone taken out",
+                        observation.at
+                    ));
                 }
                 _ => {}
             }
@@ -268,22 +284,22 @@
     }
 }
 
-fn overlaps(task: &TaskId, lives: &[Life], found: &mut Vec<String>) {
-    for pair in lives.windows(2) {
-        if pair[1].from < pair[0].to {
+fn overlaps(task: &TaskId, runs: &[Run], found: &mut Vec<String>) {
+    for pair in runs.windows(2) {
+        if pair[1].start < pair[0].end {
             found.push(format!(
                 "{task} ran as {:x} on {} and as {:x} on {} at once, from {}",
-                pair[0].run, pair[0].worker, pair[1].run, pair[1].worker, pair[1].from
+                pair[0].number, pair[0].worker, pair[1].number, pair[1].worker, pair[1].start
             ));
         }
     }
 }
 
-/// A task that is not idempotent goes on only where a checkpoint left off.
-fn repeats(task: &TaskId, lives: &[Life], found: &mut Vec<String>) {
-    for pair in lives.windows(2) {
-        let paused = matches!(pair[0].kind, Some(EndKind::Evicted | EndKind::Lapsed));
-        if !paused || pair[1].resumed_ms != pair[0].checkpoint_ms {
+/// A task that is not idempotent may run again only from the checkpoint where its last run ended.
+fn reruns(task: &TaskId, runs: &[Run], found: &mut Vec<String>) {
+    for pair in runs.windows(2) {
+        let checkpointed = matches!(pair[0].kind, Some(EndKind::Evicted | EndKind::Lapsed));
+        if !checkpointed || pair[1].resumed_ms != pair[0].checkpoint_ms {
             found.push(format!(
                 "{task} is not idempotent, ended as {:?} at {} ms of work, ran again from {} ms",
                 pair[0].kind, pair[0].checkpoint_ms, pair[1].resumed_ms
@@ -292,16 +308,19 @@
     }
 }
 
-fn overcommits(lives: &BTreeMap<TaskId, Vec<Life>>, capacity: Resources, found: &mut Vec<String>) {
-    let all: Vec<&Life> = lives.values().flatten().collect();
-    for life in &all {
-        let held = all
+fn overcommits(runs: &BTreeMap<TaskId, Vec<Run>>, capacity: Resources, found: &mut Vec<String>) {
+    let all: Vec<&Run> = runs.values().flatten().collect();
+    for run in &all {
+        let committed = all
             .iter()
-            .filter(|other| other.worker == life.worker)
-            .filter(|other| other.from <= life.from && life.from < other.to)
+            .filter(|other| other.worker == run.worker)
+            .filter(|other| other.start <= run.start && run.start < other.end)
             .fold(Resources::ZERO, |sum, other| sum + other.resources);
-        if !held.fits(capacity) {
-            found.push(format!("{} holds {held:?} at {}", life.worker, life.from));
+        if !committed.fits(capacity) {
+            found.push(format!(
+                "{} has {committed:?} committed at {}, more than its capacity",
+                run.worker, run.start
+            ));
         }
     }
 }
--- a/testsuite/tests/testsuite/scheduler/requests.rs
+++ b/testsuite/tests/testsuite/scheduler/requests.rs
@@ -1,11 +1,11 @@
-//! What callers are told, and what becomes of their jobs.
+//! Answers to callers, and the effects of their requests on jobs.
 
 use test_case::test_case;
 use verbenahitch::domain::{JobSpec, TaskOutcome};
 use verbenahitch::port::HostState;
 use verbenahitch::scheduler::{Answer, Request, SubmitError};
 
-use super::common::{LIMIT_MS, RUN_MS, accept, count, finish, id, world};
+use super::common::{RUN_MS, TIMEOUT_MS, finish_job, id, outcome_count, submit_job, world};
 use super::declared::spec;
 
 struct Refusal {
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn an_outage_refuses_new_jobs_and_loses_none() {
+fn new_jobs_are_refused_during_an_outage_and_pending_ones_are_kept() {
     let mut world = world();
     world.store.down = true;
     let first = world.submit(0, &id("first"), spec("recalculation", 1, RUN_MS));
@@ -28,7 +28,7 @@
     ));
     let now = world.now;
     world.store.recover(now, 3_000);
-    finish(&mut world, "first");
+    finish_job(&mut world, "first");
     assert!(matches!(world.answers[&first], Answer::Accepted(_)));
     assert!(!world.store.jobs.contains_key(&id("second")));
 }
@@ -37,10 +37,10 @@
 #[test_case(Refusal { spec: spec("recalculation", 0, 10), reason: "found 0 tasks" }; "no tasks")]
 #[test_case(Refusal { spec: spec("recalculation", u32::MAX, 10), reason: "found 4294967295 tasks" }; "too many tasks")]
 #[test_case(Refusal { spec: spec("recalculation", 1, 0), reason: "run time of 0 ms" }; "no run time")]
-#[test_case(Refusal { spec: spec("recalculation", 1, 1 << 53), reason: "run time of 9007199254740992 ms" }; "absurd run time")]
+#[test_case(Refusal { spec: spec("recalculation", 1, 1 << 53), reason: "run time of 9007199254740992 ms" }; "run time too long")]
 #[test_case(Refusal { spec: spec("giant", 1, 10), reason: "can never run" }; "larger than every worker")]
 #[test_case(Refusal { spec: JobSpec { payload: "x".repeat(20_000), ..spec("recalculation", 1, 10) }, reason: "payload of 20000 bytes" }; "payload too long")]
-fn refusals_name_the_reason(case: Refusal) {
+fn a_refusal_states_its_reason(case: Refusal) {
     let mut world = world();
     let request = world.submit(0, &id("refused"), case.spec);
     let refusal = world.refusal(request).expect("a refusal").to_string();
@@ -50,35 +50,35 @@
 }
 
 #[test]
-fn a_repeated_submission_is_the_same_job() {
+fn a_repeated_submission_returns_the_same_job() {
     let mut world = world();
-    accept(&mut world, "once", spec("recalculation", 2, RUN_MS));
-    let again = world.submit(0, &id("once"), spec("recalculation", 2, RUN_MS));
-    let other = world.submit(0, &id("once"), spec("recalculation", 3, RUN_MS));
-    assert!(matches!(world.answers[&again], Answer::Accepted(_)));
+    submit_job(&mut world, "once", spec("recalculation", 2, RUN_MS));
+    let repeated = world.submit(0, &id("once"), spec("recalculation", 2, RUN_MS));
+    let changed = world.submit(0, &id("once"), spec("recalculation", 3, RUN_MS));
+    assert!(matches!(world.answers[&repeated], Answer::Accepted(_)));
     assert!(matches!(
-        world.refusal(other),
+        world.refusal(changed),
         Some(SubmitError::Mismatch { .. })
     ));
-    finish(&mut world, "once");
-    assert_eq!(world.history.starts(), 2);
+    finish_job(&mut world, "once");
+    assert_eq!(world.history.start_count(), 2);
 }
 
 #[test]
-fn cancelling_stops_what_runs_and_drops_what_waits() {
+fn cancelling_a_job_stops_its_running_tasks_and_drops_its_queued_ones() {
     let mut world = world();
-    accept(&mut world, "long", spec("recalculation", 40, 60_000));
-    assert!(world.run_while(LIMIT_MS, |world| world.history.starts() < 12));
-    world.ask(0, Request::Cancel(id("long")));
-    finish(&mut world, "long");
-    assert_eq!(count(&world, "long", TaskOutcome::Cancelled), 40);
-    assert_eq!(world.history.starts(), 12);
+    submit_job(&mut world, "long", spec("recalculation", 40, 60_000));
+    assert!(world.run_while(TIMEOUT_MS, |world| world.history.start_count() < 12));
+    world.send_request(0, Request::Cancel(id("long")));
+    finish_job(&mut world, "long");
+    assert_eq!(outcome_count(&world, "long", TaskOutcome::Cancelled), 40);
+    assert_eq!(world.history.start_count(), 12);
     world.run_for(1_000);
     assert_eq!(world.owners[0].shard.status().running, 0);
 }
 
 #[test]
-fn many_submissions_share_few_commits() {
+fn many_submissions_are_batched_into_few_commits() {
     let mut world = world();
     let before = world.store.batches;
     for number in 0..200 {
@@ -88,16 +88,16 @@
             spec("recalculation", 1, 60_000),
         );
     }
-    assert!(world.run_while(LIMIT_MS, |world| world.accepted.len() < 200));
+    assert!(world.run_while(TIMEOUT_MS, |world| world.accepted.len() < 200));
     let batches = world.store.batches - before;
     assert!(batches <= 8, "{batches} batches for 200 jobs, 30 a batch");
 }
 
 #[test]
-fn status_tells_how_workers_stand() {
+fn status_shows_the_state_of_each_worker() {
     let mut world = world();
-    accept(&mut world, "long", spec("recalculation", 2, 60_000));
-    assert!(world.run_while(LIMIT_MS, |world| world.history.starts() < 2));
+    submit_job(&mut world, "long", spec("recalculation", 2, 60_000));
+    assert!(world.run_while(TIMEOUT_MS, |world| world.history.start_count() < 2));
     world.run_for(1_000);
     world
         .workers
@@ -105,8 +105,8 @@
         .expect("a known worker")
         .host
         .state = HostState::Leaving;
-    world.list_hosts();
-    world.cut_worker("w2");
+    world.send_hosts();
+    world.isolate_worker("w2");
     world.run_for(2_000);
     let status = world.owners[0].shard.status();
     let states: Vec<&str> = status
--- a/testsuite/tests/testsuite/scheduler/world.rs
+++ b/testsuite/tests/testsuite/scheduler/world.rs
@@ -1,7 +1,9 @@
-//! Two processes that want one shard, its workers and the store, on one clock.
+//! Simulation of two processes that compete for one shard, of its workers and of
+//! the store, on one clock.
 //!
-//! Messages take time and may be lost, repeated or late; the processes may be
-//! killed, paused or cut off. The order of all events follows from the seed.
+//! Messages are delayed and may be lost or repeated; the processes may be killed,
+//! paused or cut off from the store and the workers. The seed determines the
+//! order of all events.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -17,7 +19,7 @@
 use super::declared::declarations;
 use super::fake_store::FakeStore;
 use super::fake_worker::FakeWorker;
-use super::history::{History, Seen};
+use super::history::{History, ObservedEvent};
 
 pub const ZONE: &str = "east";
 pub const CAPACITY: Resources = Resources::new(4, 4_096);
@@ -27,15 +29,15 @@
 pub const SHARD_LEASE_MS: Millis = 3_000;
 pub const RENEW_MS: Millis = 500;
 const SYNC_TIMEOUT_MS: Millis = 300;
-pub const LATENCY_MS: Millis = 2;
+pub const MAX_LATENCY_MS: Millis = 2;
 
-/// How badly messages fare.
+/// Probabilities of faults in the delivery of messages.
 #[derive(Clone, Copy, Default)]
-pub struct Weather {
+pub struct MessageFaults {
     pub lost: f64,
     pub repeated: f64,
     pub late: f64,
-    /// Share of commits whose answer is lost after the effect.
+    /// Probability that a commit takes effect and its answer is lost.
     pub unanswered: f64,
 }
 
@@ -43,34 +45,35 @@
     Tick(usize),
     Renew(usize),
     Input(usize, u32, Box<Input>),
-    /// A call over a connection to one life of the worker.
+    /// A sync over a connection to one boot of the worker.
     Sync(usize, u32, u32, String, SyncRequest),
     Commit(usize, u32, u64, Batch),
 }
 
+/// Process that can own the shard.
 pub struct Owner {
     pub shard: Shard,
-    /// Rises when the process is replaced; messages for an earlier one are lost.
-    pub(super) life: u32,
+    /// Incremented when the process is replaced; messages for an earlier incarnation are dropped.
+    pub(super) incarnation: u32,
     pub epoch: Option<u64>,
-    pub frozen: bool,
-    pub cut: bool,
-    pub(super) renewed: Millis,
+    pub is_paused: bool,
+    pub store_unreachable: bool,
+    pub(super) renewed_at: Millis,
     backlog: VecDeque<Input>,
-    pub(super) leaving: bool,
-    tick: Millis,
+    pub(super) is_releasing: bool,
+    next_tick: Millis,
 }
 
 pub struct World {
     pub now: Millis,
     pub rng: ChaCha8Rng,
-    pub weather: Weather,
+    pub message_faults: MessageFaults,
     pub owners: Vec<Owner>,
     pub workers: BTreeMap<String, FakeWorker>,
     /// Pairs of owner and worker that cannot reach each other.
-    pub cuts: BTreeSet<(usize, String)>,
-    /// Time that messages to a worker take besides, in milliseconds.
-    pub slow: BTreeMap<String, Millis>,
+    pub partitions: BTreeSet<(usize, String)>,
+    /// Additional delay of messages to a worker, in milliseconds.
+    pub delays: BTreeMap<String, Millis>,
     pub store: FakeStore,
     pub declared: Arc<Declarations>,
     pub history: History,
@@ -101,19 +104,19 @@
 }
 
 impl World {
-    /// Creates a world in which the first of two processes will soon own the shard.
+    /// Creates a simulation in which the first of two processes soon acquires the shard.
     pub fn new(seed: u64, workers: usize) -> Self {
         let mut world = Self {
             now: 1_000,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            weather: Weather::default(),
+            message_faults: MessageFaults::default(),
             owners: Vec::new(),
             workers: (0..workers)
                 .map(|index| format!("w{index}"))
                 .map(|name| (name.clone(), FakeWorker::new(&name, ZONE, CAPACITY)))
                 .collect(),
-            cuts: BTreeSet::new(),
-            slow: BTreeMap::new(),
+            partitions: BTreeSet::new(),
+            delays: BTreeMap::new(),
             store: FakeStore::default(),
             declared: Arc::new(declarations(1, ZoneState::In)),
             history: History::default(),
@@ -127,23 +130,23 @@
         for owner in 0..2 {
             world.owners.push(Owner {
                 shard: shard(owner, seed),
-                life: 0,
+                incarnation: 0,
                 epoch: None,
-                frozen: false,
-                cut: false,
-                renewed: 0,
+                is_paused: false,
+                store_unreachable: false,
+                renewed_at: 0,
                 backlog: VecDeque::new(),
-                leaving: false,
-                tick: 0,
+                is_releasing: false,
+                next_tick: 0,
             });
-            world.greet(owner);
+            world.send_initial_state(owner);
             let first = world.now + u64::try_from(owner).expect("two owners") * 100;
             world.push(first, Event::Renew(owner));
         }
         world
     }
 
-    /// Lets events happen until `until`.
+    /// Processes all events up to `until`.
     pub fn run_until(&mut self, until: Millis) {
         while let Some(entry) = self
             .queue
@@ -152,7 +155,7 @@
         {
             let ((at, _), event) = entry.remove_entry();
             self.now = self.now.max(at);
-            self.happen(event);
+            self.handle_event(event);
         }
         self.now = self.now.max(until);
         let now = self.now;
@@ -165,10 +168,10 @@
         self.run_until(self.now + millis);
     }
 
-    /// Runs until `done` holds; false if it never does within `limit` milliseconds.
-    pub fn run_while(&mut self, limit: Millis, pending: impl Fn(&Self) -> bool) -> bool {
+    /// Runs while `pending` holds; returns false if it still holds after `timeout` milliseconds.
+    pub fn run_while(&mut self, timeout: Millis, pending: impl Fn(&Self) -> bool) -> bool {
         const STEP_MS: Millis = 20;
-        let end = self.now + limit;
+        let end = self.now + timeout;
         while pending(self) {
             if self.now >= end {
                 return false;
@@ -178,14 +181,14 @@
         true
     }
 
-    /// Process that owns the shard by its own belief, the newest if there are two.
+    /// Process that considers itself the owner; the one with the higher epoch if both do.
     pub fn owner(&self) -> Option<usize> {
         (0..self.owners.len())
             .filter(|owner| self.owners[*owner].epoch.is_some())
             .max_by_key(|owner| self.owners[*owner].epoch)
     }
 
-    pub fn ask(&mut self, owner: usize, body: Request) -> u64 {
+    pub fn send_request(&mut self, owner: usize, body: Request) -> u64 {
         self.next_request += 1;
         let request = self.next_request;
         let input = Input::Asked {
@@ -199,38 +202,38 @@
 
     pub fn submit(&mut self, owner: usize, id: &JobId, spec: JobSpec) -> u64 {
         let id = id.clone();
-        self.ask(owner, Request::Submit { id, spec })
+        self.send_request(owner, Request::Submit { id, spec })
     }
 
-    /// Kills a process; another one of its name starts at once, empty.
+    /// Kills a process and at once starts a replacement of the same name without state.
     pub fn kill(&mut self, owner: usize) {
         let seed = self.rng.random();
         let old = &mut self.owners[owner];
         old.shard = shard(owner, seed);
-        old.life += 1;
+        old.incarnation += 1;
         old.epoch = None;
-        old.frozen = false;
-        old.leaving = false;
+        old.is_paused = false;
+        old.is_releasing = false;
         old.backlog.clear();
-        self.greet(owner);
+        self.send_initial_state(owner);
     }
 
-    pub fn freeze(&mut self, owner: usize) {
-        self.owners[owner].frozen = true;
+    pub fn pause(&mut self, owner: usize) {
+        self.owners[owner].is_paused = true;
     }
 
-    /// Wakes a process, which first takes in what waited for it.
-    pub fn wake(&mut self, owner: usize) {
-        self.owners[owner].frozen = false;
+    /// Resumes a process, which first handles the inputs that queued up during the pause.
+    pub fn resume(&mut self, owner: usize) {
+        self.owners[owner].is_paused = false;
         while let Some(input) = self.owners[owner].backlog.pop_front() {
             self.feed(owner, input);
         }
         self.feed(owner, Input::Tick);
     }
 
-    /// Asks a process to give the shard up, as before a planned stop.
+    /// Asks a process to release the shard, as before a planned stop.
     pub fn release(&mut self, owner: usize) {
-        self.owners[owner].leaving = self.owners[owner].epoch.is_some();
+        self.owners[owner].is_releasing = self.owners[owner].epoch.is_some();
         self.feed(owner, Input::Release);
     }
 
@@ -239,24 +242,24 @@
         worker.crash(self.now, &mut self.history);
     }
 
-    pub fn cut_worker(&mut self, name: &str) {
+    pub fn isolate_worker(&mut self, name: &str) {
         for owner in 0..self.owners.len() {
-            self.cuts.insert((owner, name.to_owned()));
+            self.partitions.insert((owner, name.to_owned()));
         }
     }
 
     pub fn set_zone(&mut self, state: ZoneState) {
         let revision = self.declared.revision + 1;
         self.declared = Arc::new(declarations(revision, state));
-        let seen = match state {
-            ZoneState::Out => Seen::ZoneOut,
-            ZoneState::In => Seen::ZoneIn,
+        let event = match state {
+            ZoneState::Out => ObservedEvent::ZoneOut,
+            ZoneState::In => ObservedEvent::ZoneIn,
         };
-        self.history.note(self.now, seen);
+        self.history.record(self.now, event);
     }
 
-    /// Hands a host list to every process.
-    pub fn list_hosts(&mut self) {
+    /// Sends the host list to every process.
+    pub fn send_hosts(&mut self) {
         for owner in 0..self.owners.len() {
             let hosts = self.hosts();
             self.feed(owner, Input::Hosts(hosts));
@@ -264,19 +267,19 @@
     }
 
     pub fn feed(&mut self, owner: usize, input: Input) {
-        if self.owners[owner].frozen {
+        if self.owners[owner].is_paused {
             return self.owners[owner].backlog.push_back(input);
         }
         let now = Monotonic(self.now);
         let actions = self.owners[owner].shard.step(input, now);
-        let life = self.owners[owner].life;
+        let incarnation = self.owners[owner].incarnation;
         for action in actions {
-            self.carry_out(owner, life, action);
+            self.carry_out(owner, incarnation, action);
         }
         self.finish_release(owner);
         let wake = self.owners[owner].shard.next_wake(now).0.max(self.now + 1);
-        if self.owners[owner].tick <= self.now || wake < self.owners[owner].tick {
-            self.owners[owner].tick = wake;
+        if self.owners[owner].next_tick <= self.now || wake < self.owners[owner].next_tick {
+            self.owners[owner].next_tick = wake;
             self.push(wake, Event::Tick(owner));
         }
     }
@@ -288,7 +291,7 @@
             .collect()
     }
 
-    fn greet(&mut self, owner: usize) {
+    fn send_initial_state(&mut self, owner: usize) {
         let hosts = self.hosts();
         self.feed(owner, Input::Declared(Arc::clone(&self.declared)));
         self.feed(owner, Input::Hosts(hosts));
@@ -299,44 +302,45 @@
         self.queue.insert((at, self.next_event), event);
     }
 
-    /// Times at which a message arrives: none, one or two.
-    pub(super) fn arrivals(&mut self) -> Vec<Millis> {
-        const LATEST_MS: Millis = 12_000;
+    /// Arrival times of a message: none if it is lost, two if it is repeated.
+    pub(super) fn arrival_times(&mut self) -> Vec<Millis> {
+        const MAX_DELAY_MS: Millis = 12_000;
         let mut times = Vec::new();
-        let copies = 1 + usize::from(self.rng.random_bool(self.weather.repeated));
+        let copies = 1 + usize::from(self.rng.random_bool(self.message_faults.repeated));
         for _ in 0..copies {
-            if self.rng.random_bool(self.weather.lost) {
+            if self.rng.random_bool(self.message_faults.lost) {
                 continue;
             }
-            let late = self.rng.random_bool(self.weather.late);
-            let most = if late { LATEST_MS } else { LATENCY_MS };
-            times.push(self.now + self.rng.random_range(1..=most));
+            let late = self.rng.random_bool(self.message_faults.late);
+            let max_delay = if late { MAX_DELAY_MS } else { MAX_LATENCY_MS };
+            times.push(self.now + self.rng.random_range(1..=max_delay));
         }
         times
     }
 
-    fn carry_out(&mut self, owner: usize, life: u32, action: Action) {
+    fn carry_out(&mut self, owner: usize, incarnation: u32, action: Action) {
         match action {
             Action::Sync {
                 worker, request, ..
             } => {
                 let boot = self.workers[&worker].boot;
-                let slow = self.slow.get(&worker).copied().unwrap_or(0);
-                for at in self.arrivals() {
-                    let event = Event::Sync(owner, life, boot, worker.clone(), request.clone());
-                    self.push(at + slow, event);
+                let delay = self.delays.get(&worker).copied().unwrap_or(0);
+                for at in self.arrival_times() {
+                    let event =
+                        Event::Sync(owner, incarnation, boot, worker.clone(), request.clone());
+                    self.push(at + delay, event);
                 }
                 let seq = request.seq;
                 let reason = "timeout".to_owned();
                 let error = SyncError::Unanswered { reason };
                 let failed = Input::SyncFailed { worker, seq, error };
                 let at = self.now + SYNC_TIMEOUT_MS;
-                self.push(at, Event::Input(owner, life, Box::new(failed)));
+                self.push(at, Event::Input(owner, incarnation, Box::new(failed)));
             }
             Action::Commit(batch) => {
                 let epoch = self.owners[owner].epoch.expect("only an owner commits");
-                let at = self.now + self.rng.random_range(1..=LATENCY_MS);
-                self.push(at, Event::Commit(owner, life, epoch, batch));
+                let at = self.now + self.rng.random_range(1..=MAX_LATENCY_MS);
+                self.push(at, Event::Commit(owner, incarnation, epoch, batch));
             }
             Action::Answer { request, body } => {
                 if let Answer::Accepted(status) = &body {
@@ -349,36 +353,38 @@
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Tick(owner) => {
-                if !self.owners[owner].frozen && self.owners[owner].tick <= self.now {
+                if !self.owners[owner].is_paused && self.owners[owner].next_tick <= self.now {
                     self.feed(owner, Input::Tick);
                 }
             }
             Event::Renew(owner) => {
                 self.push(self.now + RENEW_MS, Event::Renew(owner));
-                if !self.owners[owner].frozen {
+                if !self.owners[owner].is_paused {
                     self.renew(owner);
                 }
             }
-            Event::Input(owner, life, input) => {
-                if self.owners[owner].life == life {
+            Event::Input(owner, incarnation, input) => {
+                if self.owners[owner].incarnation == incarnation {
                     self.feed(owner, *input);
                 }
             }
-            Event::Sync(owner, life, boot, worker, request) => {
+            Event::Sync(owner, incarnation, boot, worker, request) => {
                 if self.workers[&worker].boot == boot {
-                    self.sync(owner, life, worker, &request);
+                    self.sync(owner, incarnation, worker, &request);
                 }
             }
-            Event::Commit(owner, life, epoch, batch) => self.commit(owner, life, epoch, &batch),
+            Event::Commit(owner, incarnation, epoch, batch) => {
+                self.commit(owner, incarnation, epoch, &batch)
+            }
         }
     }
 
-    /// Submits again what was not accepted, as a caller would.
-    pub fn insist(&mut self, wanted: &[(JobId, JobSpec)]) {
-        let Some(owner) = self.owner().filter(|owner| !self.owners[*owner].frozen) else {
+    /// Submits the jobs that have not been accepted yet, as a caller that retries.
+    pub fn resubmit(&mut self, wanted: &[(JobId, JobSpec)]) {
+        let Some(owner) = self.owner().filter(|owner| !self.owners[*owner].is_paused) else {
             return;
         };
         for (id, spec) in wanted {
--- a/testsuite/tests/testsuite/session/daemons.rs
+++ b/testsuite/tests/testsuite/session/daemons.rs
@@ -1,10 +1,10 @@
-//! Daemons of three entry hosts, and a job that runs on them.
+//! Daemons of three entry hosts, and a job that they run.
 
 use verbenahitch::port::EndKind;
 
-use super::deployment::{Daemon, Deployment, Process, ended, wait_until};
+use super::deployment::{Daemon, Deployment, Process, ended_count, wait_until};
 
-/// Entry hosts of the sessions: two in zone a, one in zone b.
+/// Zone of each entry host.
 const ZONES: [&str; 3] = ["a", "a", "b"];
 
 pub(super) const TASKS: usize = 8;
@@ -16,7 +16,8 @@
 
 impl Daemons {
     pub(super) fn start(deployment: &Deployment) -> Self {
-        let run = |daemon| (0..ZONES.len()).map(move |host| Some(deployment.run(daemon, host)));
+        let run =
+            |daemon| (0..ZONES.len()).map(move |host| Some(deployment.start_daemon(daemon, host)));
         Self {
             schedulers: run(Daemon::Scheduler).collect(),
             gateways: run(Daemon::Gateway).collect(),
@@ -33,24 +34,25 @@
 pub(super) async fn start(name: &str) -> (Deployment, Daemons) {
     let deployment = Deployment::start(name, &ZONES);
     let daemons = Daemons::start(&deployment);
-    deployment.declare().await;
+    deployment.apply_declarations().await;
     deployment.wait_for_owners().await;
     (deployment, daemons)
 }
 
-pub(super) async fn submit(deployment: &Deployment) {
+pub(super) async fn submit_job(deployment: &Deployment) {
     let submit = format!("submit --key job --profile recalculation --tasks {TASKS} --run-ms 2500");
     wait_until("the job is accepted", async || {
-        deployment.team(2, &submit).status.success()
+        deployment.run_as_team(2, &submit).status.success()
     })
     .await;
 }
 
-/// The job finishes, each task exactly once, and the workers saw no promise broken.
-pub(super) async fn finish(deployment: &Deployment, tasks: usize) {
+/// Waits until the job is done; checks that each task ran to its end exactly once and that the
+/// workers' histories show no violation.
+pub(super) async fn finish_job(deployment: &Deployment, tasks: usize) {
     let count = u64::try_from(tasks).expect("few tasks");
     deployment.wait_for_done(2, "bureau.job", count).await;
-    let done = ended(&deployment.histories().await, EndKind::Done);
-    assert_eq!(done, tasks, "runs to the end");
+    let done = ended_count(&deployment.histories().await, EndKind::Done);
+    assert_eq!(done, tasks, "number of runs that ended as done");
     assert_eq!(deployment.violations(Vec::new()).await, []);
 }
--- a/testsuite/tests/testsuite/session/deployment.rs
+++ b/testsuite/tests/testsuite/session/deployment.rs
@@ -1,4 +1,4 @@
-//! A deployment of separate processes on loopback addresses of its own.
+//! Deployment of separate processes on loopback addresses of its own.
 
 use std::collections::HashSet;
 use std::io::{BufRead as _, BufReader};
@@ -14,11 +14,11 @@
 use verbenahitch_standin::history::{Outage, Rules, Session, Violation, WorkerHistory, check};
 use verbenahitch_standin::platform::Addresses;
 
-/// Longest time that a condition may take, so that a failing test ends.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Timeout of a condition, so that a failing test ends.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Time between two looks at a condition.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 pub(super) const TEAM_TOKEN: &str = "bureau-token";
 
@@ -51,7 +51,7 @@
         assert!(status.is_ok_and(|status| status.success()), "kill {name}");
     }
 
-    /// Waits for the end; says whether its exit status was zero.
+    /// Waits for the end; returns whether the exit status was zero.
     pub(super) fn wait(mut self) -> bool {
         self.child.wait().is_ok_and(|status| status.success())
     }
@@ -64,11 +64,12 @@
     }
 }
 
-/// Entry hosts, one a zone name given, and the platform.
+/// Platform and entry hosts, with one entry host for each zone name given.
 pub(super) struct Deployment {
     pub(super) dir: PathBuf,
     pub(super) http: reqwest::Client,
     pub(super) addresses: Addresses,
+    /// Second and third byte of the loopback addresses.
     network: [u8; 2],
     zones: Vec<String>,
     _platform: Process,
@@ -81,7 +82,7 @@
         let pid = std::process::id();
         let dir = std::env::temp_dir().join(format!("verbenahitch-{name}-{pid}"));
         std::fs::create_dir_all(&dir).expect("the temporary folder can be written");
-        let pool = fixture("pool.jsonc");
+        let pool = fixture_path("pool.jsonc");
         let mut child = Command::new(env!("CARGO_BIN_EXE_testsuite-standin"))
             .args(["platform", "--lag-ms", "200", "--zone-addresses"])
             .args(["--pool", &pool])
@@ -89,15 +90,17 @@
             .stdout(Stdio::piped())
             .spawn()
             .expect("the stand-ins start");
-        let output = child.stdout.take().expect("it is piped");
+        let output = child.stdout.take().expect("the standard output is piped");
         let mut line = String::new();
-        BufReader::new(output).read_line(&mut line).expect("a line");
+        BufReader::new(output)
+            .read_line(&mut line)
+            .expect("the stand-ins print a line");
         let deployment = Self {
             dir,
             http: reqwest::Client::new(),
-            addresses: serde_json::from_str(&line).expect("addresses"),
+            addresses: serde_json::from_str(&line).expect("the line holds the addresses"),
             network: [
-                u8::try_from(pid % 100).expect("below 100") + 100,
+                u8::try_from(pid % 100).expect("a remainder below 100 fits") + 100,
                 NETWORKS.fetch_add(1, Ordering::Relaxed),
             ],
             zones: zones.iter().map(|zone| (*zone).to_owned()).collect(),
@@ -112,7 +115,7 @@
     /// Address of an entry host.
     fn ip(&self, host: usize) -> Ipv4Addr {
         let [second, third] = self.network;
-        let last = u8::try_from(host + 1).expect("few entry hosts");
+        let last = u8::try_from(host + 1).expect("fewer than 255 entry hosts");
         Ipv4Addr::new(127, second, third, last)
     }
 
@@ -126,13 +129,13 @@
         let seeds: Vec<Value> = (0..self.zones.len())
             .map(|other| json!({"address": format!("{}:7002", self.ip(other))}))
             .collect();
-        let doors = &self.addresses.zones[&self.zones[host]];
+        let platform = &self.addresses.zones[&self.zones[host]];
         let settings = json!({
             "name": format!("entry-{host}"),
             "zone": self.zones[host],
             "platform": {
-                "store": doors.store,
-                "hosts": doors.hosts,
+                "store": platform.store,
+                "hosts": platform.hosts,
                 "hosts-interval-ms": 200,
             },
             "peers": {
@@ -165,7 +168,7 @@
     }
 
     /// Starts a daemon of an entry host.
-    pub(super) fn run(&self, daemon: Daemon, host: usize) -> Process {
+    pub(super) fn start_daemon(&self, daemon: Daemon, host: usize) -> Process {
         let settings = self.dir.join(format!("entry-{host}.jsonc"));
         let child = Command::new(env!("CARGO_BIN_EXE_testsuite-verbenahitch"))
             .arg(daemon.subcommand())
@@ -176,20 +179,20 @@
         Process { child }
     }
 
-    /// Runs an operator's subcommand at an entry host's gateway; `subcommand` is split at spaces.
-    pub(super) fn operate(&self, host: usize, subcommand: &str) -> Output {
-        self.command(host, "ops.token", subcommand)
+    /// Runs a subcommand, split at spaces, as the operator at an entry host's gateway.
+    pub(super) fn run_as_operator(&self, host: usize, subcommand: &str) -> Output {
+        self.run_subcommand(host, "ops.token", subcommand)
     }
 
-    /// Runs a subcommand of the team at an entry host's gateway.
-    pub(super) fn team(&self, host: usize, subcommand: &str) -> Output {
-        self.command(host, "team.token", subcommand)
+    /// Runs a subcommand as the team at an entry host's gateway.
+    pub(super) fn run_as_team(&self, host: usize, subcommand: &str) -> Output {
+        self.run_subcommand(host, "team.token", subcommand)
     }
 
-    fn command(&self, host: usize, token: &str, subcommand: &str) -> Output {
+    fn run_subcommand(&self, host: usize, token: &str, subcommand: &str) -> Output {
         let mut words = subcommand.split(' ');
         Command::new(env!("CARGO_BIN_EXE_testsuite-verbenahitch"))
-            .arg(words.next().expect("a subcommand"))
+            .arg(words.next().expect("the subcommand is not empty"))
             .args(["--gateway", &format!("{}:8001", self.ip(host))])
             .arg("--token-file")
             .arg(self.dir.join(token))
@@ -199,12 +202,12 @@
             .expect("the command runs")
     }
 
-    /// Applies the fixture of declarations and waits until it is accepted.
-    pub(super) async fn declare(&self) {
-        let file = fixture("declarations.jsonc");
+    /// Applies the declarations of the fixture and waits until they are accepted.
+    pub(super) async fn apply_declarations(&self) {
+        let file = fixture_path("declarations.jsonc");
         let apply = format!("apply {file}");
         wait_until("the declarations are accepted", async || {
-            self.operate(0, &apply).status.success()
+            self.run_as_operator(0, &apply).status.success()
         })
         .await;
     }
@@ -214,7 +217,7 @@
         let zones: HashSet<&String> = self.zones.iter().collect();
         let zones = zones.len();
         wait_until("every shard has an owner", async || {
-            let status = answer(&self.operate(0, "status"));
+            let status = json_output(&self.run_as_operator(0, "status"));
             status["shards"].as_array().map_or(0, Vec::len) >= zones
         })
         .await;
@@ -240,9 +243,9 @@
         hosts.max_by_key(acquired).expect("there are entry hosts")
     }
 
-    /// Promises that the workers' histories show as broken, with the zones that were out.
+    /// Violations of the guarantees in the workers' histories, given the outages of zones.
     pub(super) async fn violations(&self, outages: Vec<Outage>) -> Vec<Violation> {
-        let declarations = load_declarations(Path::new(&fixture("declarations.jsonc")));
+        let declarations = load_declarations(Path::new(&fixture_path("declarations.jsonc")));
         let rules = Rules::new(&declarations.expect("the fixture has no faults"));
         let session = Session {
             workers: self.histories().await,
@@ -252,36 +255,36 @@
         check(&session, &rules)
     }
 
-    /// URL for callers at an entry host.
+    /// URL of an entry host's port for callers.
     pub(super) fn url(&self, host: usize, path: &str) -> String {
         format!("http://{}:8000{path}", self.ip(host))
     }
 
-    /// Log lines of an entry host that hold the event `name` and `text`.
-    pub(super) fn logged(&self, host: usize, name: &str, text: &str) -> usize {
+    /// Number of log lines of an entry host with the event `name` that contain `text`.
+    pub(super) fn log_count(&self, host: usize, name: &str, text: &str) -> usize {
         let file = self.dir.join(format!("entry-{host}.log"));
         let log = std::fs::read_to_string(file).unwrap_or_default();
         let name = format!(r#""name":"{name}""#);
-        let holds = |line: &&str| line.contains(&name) && line.contains(text);
-        log.lines().filter(holds).count()
+        let matches = |line: &&str| line.contains(&name) && line.contains(text);
+        log.lines().filter(matches).count()
     }
 
-    /// What every worker did.
+    /// Histories of all workers.
     pub(super) async fn histories(&self) -> Vec<WorkerHistory> {
         let url = format!("http://{}/workers/history", self.addresses.control);
-        let answer = self
+        let response = self
             .http
             .get(url)
             .send()
             .await
             .expect("the stand-in answers");
-        answer.json().await.expect("histories")
+        response.json().await.expect("the answer holds histories")
     }
 
-    /// Waits until a gateway says that all `tasks` of `job` are done.
+    /// Waits until an entry host's gateway reports all `tasks` of `job` as done.
     pub(super) async fn wait_for_done(&self, host: usize, job: &str, tasks: u64) {
         wait_until(&format!("{job} is done"), async || {
-            let status = answer(&self.team(host, &format!("job {job}")));
+            let status = json_output(&self.run_as_team(host, &format!("job {job}")));
             status["done"].as_u64() == Some(tasks)
         })
         .await;
@@ -290,7 +293,7 @@
     /// Waits until a worker runs a task.
     pub(super) async fn wait_for_run(&self) {
         wait_until("a task runs", async || {
-            self.histories().await.iter().any(runs_now)
+            self.histories().await.iter().any(is_busy)
         })
         .await;
     }
@@ -300,16 +303,16 @@
         wait_until("the zone runs nothing", async || {
             let histories = self.histories().await;
             let mut of_zone = histories.iter().filter(|history| history.zone == zone);
-            !of_zone.any(runs_now)
+            !of_zone.any(is_busy)
         })
         .await;
     }
 
-    /// Sets a control of the stand-ins.
-    pub(super) async fn control(&self, path: &str, body: &Value) {
+    /// Posts `body` to a path of the stand-ins' control address.
+    pub(super) async fn post_control(&self, path: &str, body: &Value) {
         let url = format!("http://{}{path}", self.addresses.control);
-        let answer = self.http.post(url).json(body).send().await;
-        let status = answer.expect("the stand-in answers").status();
+        let response = self.http.post(url).json(body).send().await;
+        let status = response.expect("the stand-in answers").status();
         assert!(status.is_success(), "{path} answered {status}");
     }
 }
@@ -322,8 +325,8 @@
     }
 }
 
-/// Answer that a command printed as JSON.
-pub(super) fn answer(output: &Output) -> Value {
+/// JSON that a subcommand printed; null if it printed none.
+pub(super) fn json_output(output: &Output) -> Value {
     serde_json::from_slice(&output.stdout).unwrap_or(Value::Null)
 }
 
@@ -331,24 +334,27 @@
 pub(super) async fn wait_until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
     let start = Instant::now();
     while !condition().await {
-        assert!(start.elapsed() < PATIENCE, "not in time: {what}");
-        tokio::time::sleep(LOOK).await;
+        assert!(
+            start.elapsed() < TIMEOUT,
+            "timed out before this held: {what}"
+        );
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Whether a run goes on at the worker.
-pub(super) fn runs_now(history: &WorkerHistory) -> bool {
+/// Whether the worker runs a task.
+pub(super) fn is_busy(history: &WorkerHistory) -> bool {
     history.runs.iter().any(|run| run.end.is_none())
 }
 
-/// Runs that ended as `kind` says, over all workers.
-pub(super) fn ended(histories: &[WorkerHistory], kind: EndKind) -> usize {
+/// Number of runs on all workers that ended as `kind`.
+pub(super) fn ended_count(histories: &[WorkerHistory], kind: EndKind) -> usize {
     let runs = histories.iter().flat_map(|history| &history.runs);
     runs.filter(|run| run.end.is_some_and(|end| end.kind == Some(kind)))
         .count()
 }
 
-pub(super) fn fixture(name: &str) -> String {
+pub(super) fn fixture_path(name: &str) -> String {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("fixtures/session");
     folder.join(name).display().to_string()
 }
--- a/testsuite/tests/testsuite/session/mod.rs
+++ b/testsuite/tests/testsuite/session/mod.rs
@@ -1,4 +1,4 @@
-//! Whole sessions over separate processes.
+//! Complete sessions of separate processes.
 
 mod daemons;
 mod deployment;
--- a/testsuite/tests/testsuite/session/whole.rs
+++ b/testsuite/tests/testsuite/session/whole.rs
@@ -1,11 +1,13 @@
-//! One session from the first declaration to a graceful stop.
+//! One session from the first declarations to a graceful stop, compared with a snapshot.
 
 use std::fmt::Write as _;
 
 use serde_json::json;
 use verbenahitch::port::EndKind;
 
-use super::deployment::{Daemon, Deployment, Process, answer, ended, runs_now, wait_until};
+use super::deployment::{
+    Daemon, Deployment, Process, ended_count, is_busy, json_output, wait_until,
+};
 
 const KINDS: [&str; 6] = [
     "/price-push",
@@ -22,10 +24,10 @@
     let mut gateways = Vec::new();
     let mut schedulers = Vec::new();
     for host in 0..2 {
-        schedulers.push(deployment.run(Daemon::Scheduler, host));
-        gateways.push(deployment.run(Daemon::Gateway, host));
+        schedulers.push(deployment.start_daemon(Daemon::Scheduler, host));
+        gateways.push(deployment.start_daemon(Daemon::Gateway, host));
     }
-    deployment.declare().await;
+    deployment.apply_declarations().await;
     deployment.wait_for_owners().await;
     let mut golden = String::new();
 
@@ -87,55 +89,69 @@
 
 async fn run_a_job_with_an_eviction(deployment: &Deployment, golden: &mut String) {
     let submit = "submit --key overnight --profile recalculation --tasks 6 --run-ms 3000";
-    let submitted = deployment.team(0, submit);
+    let submitted = deployment.run_as_team(0, submit);
     writeln!(golden, "submitted: {}", submitted.status.success()).unwrap();
-    let repeated = answer(&deployment.team(1, submit));
+    let repeated = json_output(&deployment.run_as_team(1, submit));
     writeln!(golden, "repeat names the same job: {}", repeated["id"]).unwrap();
-    let never = deployment.team(0, "submit --key unknown --profile nothing --run-ms 1");
-    writeln!(golden, "unknown profile: status {:?}", never.status.code()).unwrap();
+    let refused = deployment.run_as_team(0, "submit --key unknown --profile nothing --run-ms 1");
+    writeln!(
+        golden,
+        "unknown profile: status {:?}",
+        refused.status.code()
+    )
+    .unwrap();
 
-    let mut on = String::new();
+    let mut worker = String::new();
     wait_until("a task runs", async || {
         let histories = deployment.histories().await;
-        let running = histories.iter().find(|history| runs_now(history));
-        on = running.map_or(String::new(), |history| history.worker.clone());
-        !on.is_empty()
+        let running = histories.iter().find(|history| is_busy(history));
+        worker = running.map_or(String::new(), |history| history.worker.clone());
+        !worker.is_empty()
     })
     .await;
-    let leaving = json!({"worker": on, "state": "leaving"});
-    deployment.control("/hosts/state", &leaving).await;
+    let leaving = json!({"worker": worker, "state": "leaving"});
+    deployment.post_control("/hosts/state", &leaving).await;
     deployment.wait_for_done(1, "bureau.overnight", 6).await;
-    let live = json!({"worker": on, "state": "live"});
-    deployment.control("/hosts/state", &live).await;
-    let explained = answer(&deployment.operate(1, "explain bureau.overnight 0"));
+    let live = json!({"worker": worker, "state": "live"});
+    deployment.post_control("/hosts/state", &live).await;
+    let explained = json_output(&deployment.run_as_operator(1, "explain bureau.overnight 0"));
     writeln!(golden, "explained: {explained}").unwrap();
-    let shard = answer(&deployment.operate(0, "shard a-0"));
+    let shard = json_output(&deployment.run_as_operator(0, "shard a-0"));
     let workers = shard["workers"].as_array().map_or(0, Vec::len);
     writeln!(golden, "shard {}: {workers} workers", shard["shard"]).unwrap();
     let histories = deployment.histories().await;
-    let evicted = ended(&histories, EndKind::Evicted) > 0;
-    writeln!(golden, "tasks done: {}", ended(&histories, EndKind::Done)).unwrap();
+    let evicted = ended_count(&histories, EndKind::Evicted) > 0;
+    writeln!(
+        golden,
+        "tasks done: {}",
+        ended_count(&histories, EndKind::Done)
+    )
+    .unwrap();
     writeln!(golden, "evicted on the way: {evicted}").unwrap();
 }
 
 async fn take_a_zone_out_and_back(deployment: &Deployment, golden: &mut String) {
     let submit = "submit --key long --profile recalculation --tasks 4 --run-ms 4000";
-    assert!(deployment.team(0, submit).status.success());
-    let out = answer(&deployment.operate(0, "zone out a"));
+    assert!(deployment.run_as_team(0, submit).status.success());
+    let out = json_output(&deployment.run_as_operator(0, "zone out a"));
     let confirmed = out["in-force"].as_array().map_or(0, Vec::len);
-    let open = out["not-confirmed"].as_array().map_or(0, Vec::len);
-    writeln!(golden, "zone out: confirmed by {confirmed}, open {open}").unwrap();
+    let unconfirmed = out["not-confirmed"].as_array().map_or(0, Vec::len);
+    writeln!(
+        golden,
+        "zone out: confirmed by {confirmed}, open {unconfirmed}"
+    )
+    .unwrap();
     deployment.wait_for_done(1, "bureau.long", 4).await;
-    let back = deployment.operate(1, "zone in a");
+    let back = deployment.run_as_operator(1, "zone in a");
     writeln!(golden, "zone in: {}", back.status.success()).unwrap();
-    let again = "submit --key after --profile recalculation --tasks 2 --run-ms 500";
-    assert!(deployment.team(1, again).status.success());
+    let after = "submit --key after --profile recalculation --tasks 2 --run-ms 500";
+    assert!(deployment.run_as_team(1, after).status.success());
     deployment.wait_for_done(1, "bureau.after", 2).await;
     let histories = deployment.histories().await;
     writeln!(
         golden,
         "tasks done in all: {}",
-        ended(&histories, EndKind::Done)
+        ended_count(&histories, EndKind::Done)
     )
     .unwrap();
 }
@@ -148,7 +164,7 @@
     for worker in deployment.histories().await {
         let path = format!("/workers/{}/fault", worker.worker);
         let slow = json!({"part": "upstream", "fault": "slow", "delay-ms": 2_000});
-        deployment.control(&path, &slow).await;
+        deployment.post_control(&path, &slow).await;
     }
     let mut calls = Vec::new();
     for number in 0..20 {
@@ -158,7 +174,7 @@
         calls.push(tokio::spawn(call.send()));
     }
     wait_until("the requests are in progress", async || {
-        let routed = (0..2).map(|host| deployment.logged(host, "routed", "stop-"));
+        let routed = (0..2).map(|host| deployment.log_count(host, "routed", "stop-"));
         routed.sum::<usize>() == 20
     })
     .await;
