--- a/crates/verbenahitch/src/settings/declared.rs
+++ b/crates/verbenahitch/src/settings/declared.rs
@@ -24,7 +24,7 @@
         "write-id",
         TEXT,
         "\"\"",
-        "identity of the write; set by the system",
+        "ID of the write; set by the system",
     ),
     Field::with_default("profiles", Shape::Map(&PROFILE), "{}", "profiles by name"),
     Field::with_default("kinds", Shape::Map(&KIND), "{}", "request kinds by name"),
@@ -50,11 +50,15 @@
         Shape::Name,
         "team whose quota the work counts against",
     ),
-    Field::required("resources", RESOURCES, "what each task commits of its host"),
+    Field::required(
+        "resources",
+        RESOURCES,
+        "resources that each task commits on its host",
+    ),
     Field::required(
         "worth",
         integer(1, 1_000),
-        "worth of one finished task or one answered request",
+        "value of one finished task or one answered request",
     ),
     Field::required(
         "target-ms",
@@ -64,7 +68,7 @@
     Field::required(
         "deadline-ms",
         integer(1, 30 * DAY_MS),
-        "longest time from acceptance to the end",
+        "maximum time from acceptance to completion",
     ),
     Field::with_default(
         "max-slowdown",
@@ -73,7 +77,7 @@
             max: 100.0,
         },
         "1.5",
-        "largest tolerated ratio of the time taken to the time taken alone",
+        "maximum tolerated ratio of the time taken to the time taken without interference",
     ),
     Field::with_default(
         "min-share",
@@ -82,25 +86,25 @@
             max: 1.0,
         },
         "0.25",
-        "least share of its processors that throttling leaves",
+        "minimum CPU share of a task under throttling",
     ),
     Field::with_default("eviction", EVICTION, "{}", "rules for evicting a task"),
     Field::required(
         "idempotent",
         Shape::Flag,
-        "whether running the work twice has the effect of running it once",
+        "whether running the work twice has the same effect as running it once",
     ),
     Field::with_default(
         "urgent",
         Shape::Flag,
         "false",
-        "whether tasks start ahead of all that is not urgent",
+        "whether tasks start before all tasks that are not urgent",
     ),
     Field::with_default(
         "pressure",
         Shape::Number { min: 0.0, max: 1.0 },
         "0.2",
-        "prior estimate of the pressure on latency-critical neighbours",
+        "prior estimate of the slowdown that one task adds to latency-critical work on the same host",
     ),
 ]);
 
@@ -108,21 +112,26 @@
     Field::required(
         "millicores",
         integer(0, MAX_MILLICORES),
-        "processor time in thousandths of a core",
+        "CPU in thousandths of a core",
     ),
     Field::required(
         "memory-mib",
         integer(0, MAX_MEMORY_MIB),
         "memory in mebibytes",
     ),
-    Field::with_default("accelerators", integer(0, 1_000), "0", "whole accelerators"),
+    Field::with_default(
+        "accelerators",
+        integer(0, 1_000),
+        "0",
+        "number of whole accelerators",
+    ),
 ]);
 
 const QUOTA: Shape = Shape::Object(&[
     Field::required(
         "millicores",
         integer(0, 1_000 * MAX_MILLICORES),
-        "processor time in thousandths of a core",
+        "CPU in thousandths of a core",
     ),
     Field::required(
         "memory-mib",
@@ -133,7 +142,7 @@
         "accelerators",
         integer(0, 1_000_000),
         "0",
-        "whole accelerators",
+        "number of whole accelerators",
     ),
 ]);
 
@@ -148,18 +157,18 @@
         "grace-ms",
         integer(0, 600_000),
         "2000",
-        "time a task gets to write its checkpoint",
+        "time that a task has to write its checkpoint before it is stopped",
     ),
     Field::with_default(
         "hourly-budget",
         integer(0, 1_000),
         "4",
-        "most evictions of one task in an hour",
+        "maximum number of evictions of one task per hour",
     ),
 ]);
 
 const KIND: Shape = Shape::Object(&[
-    Field::required("path", Shape::Text, "start of the request path"),
+    Field::required("path", Shape::Text, "prefix of the request path"),
     Field::required(
         "profile",
         Shape::Name,
@@ -171,7 +180,7 @@
     Field::required(
         "quota",
         QUOTA,
-        "what the team's running tasks may commit over all availability zones",
+        "resources that the team's running tasks may commit over all availability zones",
     ),
     Field::required(
         "token-digest",
@@ -196,6 +205,6 @@
         "ramp-ms",
         integer(0, DAY_MS),
         "30000",
-        "time over which a returning zone is filled",
+        "time over which the workers of a returning zone start to take tasks again",
     ),
 ]);
--- a/crates/verbenahitch/src/settings/table.rs
+++ b/crates/verbenahitch/src/settings/table.rs
@@ -23,17 +23,17 @@
         "name of the entry host, unique in the deployment",
     ),
     Field::required("zone", Shape::Name, "availability zone of the entry host"),
-    Field::required("platform", PLATFORM, "the platform's services"),
-    Field::required("peers", PEERS, "the other processes of the system"),
-    Field::required("gateway", GATEWAY, "the gateway daemon"),
-    Field::required("scheduler", SCHEDULER, "the scheduler daemon"),
+    Field::required("platform", PLATFORM, "access to the platform's services"),
+    Field::required("peers", PEERS, "communication with the other processes"),
+    Field::required("gateway", GATEWAY, "settings of the gateway daemon"),
+    Field::required("scheduler", SCHEDULER, "settings of the scheduler daemon"),
     Field::with_default(
         "operators",
         Shape::List(&OPERATOR),
         "[]",
         "operators that may use the operators' interface",
     ),
-    Field::with_default("log", LOG, "{}", "logs"),
+    Field::with_default("log", LOG, "{}", "settings of the log"),
 ]);
 
 const PLATFORM: Shape = Shape::Object(&[
@@ -45,17 +45,12 @@
         "\"worker\"",
         "name of the workers' service in the list",
     ),
-    Field::with_default(
-        "timeout-ms",
-        millis(MINUTE_MS),
-        "1000",
-        "time limit of a call",
-    ),
+    Field::with_default("timeout-ms", millis(MINUTE_MS), "1000", "timeout of a call"),
     Field::with_default(
         "hosts-interval-ms",
         millis(MINUTE_MS),
         "1000",
-        "time between two readings of the list",
+        "interval between two reads of the list",
     ),
 ]);
 
@@ -63,31 +58,31 @@
     Field::required(
         "token-file",
         Shape::Text,
-        "file that holds the token which processes show each other",
+        "file that holds the token by which processes authenticate to each other",
     ),
     Field::required(
         "seeds",
         Shape::List(&SEED),
-        "processes to greet at the start",
+        "processes to contact at startup",
     ),
     Field::with_default(
         "heartbeat-ms",
         integer(50, MINUTE_MS),
         "500",
-        "time between two heartbeats",
+        "interval between two heartbeats",
     ),
     Field::with_default(
         "timeout-ms",
         integer(200, MINUTE_MS),
         "3000",
-        "time without a heartbeat after which a process is presumed gone",
+        "time without a heartbeat after which a process is considered lost",
     ),
 ]);
 
 const SEED: Shape = Shape::Object(&[Field::required(
     "address",
     Shape::Address,
-    "address of its peer interface",
+    "address of the process's peer interface",
 )]);
 
 const GATEWAY: Shape = Shape::Object(&[
@@ -97,7 +92,7 @@
         LISTEN_ADDRESS,
         "address that operators and submitters of jobs use",
     ),
-    Field::required("metrics", LISTEN_ADDRESS, "address of the metrics"),
+    Field::required("metrics", LISTEN_ADDRESS, "address of the metrics exporter"),
     Field::required(
         "peers",
         LISTEN_ADDRESS,
@@ -113,66 +108,66 @@
         "body-limit",
         integer(1, 64 * MIB),
         "1048576",
-        "largest body of a request, in bytes",
+        "maximum size of a request body, in bytes",
     ),
     Field::with_default(
         "answer-limit",
         integer(1, 64 * MIB),
         "4194304",
-        "largest body of an upstream's answer, in bytes",
+        "maximum size of the body of an upstream's answer, in bytes",
     ),
     Field::with_default(
         "head-limit",
         integer(1_024, MIB),
         "16384",
-        "largest head of a request, in bytes",
+        "maximum size of a request head (request line and headers), in bytes",
     ),
     Field::with_default(
         "key-limit",
         integer(16, 1_024),
         "128",
-        "longest idempotency key, in bytes",
+        "maximum length of an idempotency key, in bytes",
     ),
     Field::with_default(
         "concurrency",
         integer(1, 65_536),
         "2048",
-        "most requests in progress",
+        "maximum number of requests in progress",
     ),
     Field::with_default(
         "subset",
         integer(1, 10_000),
         "60",
-        "most upstreams that this gateway keeps connections to",
+        "maximum number of upstreams that this gateway keeps connections to",
     ),
     Field::with_default(
         "retry-percent",
         integer(0, 100),
         "10",
-        "retries per hundred first attempts",
+        "retries after failed attempts, per hundred requests",
     ),
     Field::with_default(
         "silence-ms",
         millis(MINUTE_MS),
         "2000",
-        "longest time without progress on an upstream's connection",
+        "maximum time without progress on an upstream's connection",
     ),
     Field::with_default(
         "grace-ms",
         millis(DAY_MS),
         "30000",
-        "longest time that a planned stop waits for requests in progress",
+        "maximum time that a planned stop waits for requests in progress",
     ),
     Field::with_default(
         "once-ms",
         integer(MINUTE_MS, DAY_MS),
         "3600000",
-        "time for which an idempotency key is remembered at least",
+        "minimum time for which an idempotency key is kept",
     ),
 ]);
 
 const SCHEDULER: Shape = Shape::Object(&[
-    Field::required("metrics", LISTEN_ADDRESS, "address of the metrics"),
+    Field::required("metrics", LISTEN_ADDRESS, "address of the metrics exporter"),
     Field::required(
         "peers",
         LISTEN_ADDRESS,
@@ -182,31 +177,31 @@
         "threads",
         integer(1, 256),
         "2",
-        "threads that carry out calls",
+        "threads that carry out calls to other processes",
     ),
     Field::with_default(
         "sync-ms",
         integer(50, MINUTE_MS),
         "2000",
-        "time between two syncs with a worker that has nothing new",
+        "interval between two syncs with a worker when there is nothing new to send",
     ),
     Field::with_default(
         "sync-timeout-ms",
         integer(50, MINUTE_MS),
         "1000",
-        "time limit of a sync",
+        "timeout of a sync",
     ),
     Field::with_default(
         "task-lease-ms",
         integer(500, DAY_MS),
         "10000",
-        "lease of a task on its worker",
+        "length of the lease of a task on its worker",
     ),
     Field::with_default(
         "shard-lease-ms",
         integer(500, DAY_MS),
         "10000",
-        "lease of a shard in the store",
+        "length of the lease of a shard in the store",
     ),
     Field::with_default(
         "permit-ms",
@@ -218,30 +213,30 @@
         "outage-ms",
         integer(0, 7 * DAY_MS),
         "7200000",
-        "time for which tasks go on while the store cannot be reached",
+        "time for which tasks continue while the store cannot be reached",
     ),
     Field::with_default(
         "commit-ms",
         integer(1, 10_000),
         "50",
-        "least time between two commits of a shard",
+        "minimum interval between two commits of a shard",
     ),
     Field::with_default(
         "mark-ahead",
         integer(0, 10_000),
         "64",
-        "tasks of a shard that are marked as startable ahead of their turn",
+        "number of queued tasks per profile and shard that are marked as startable in advance",
     ),
     Field::with_default(
         "retention-ms",
         integer(1_000, 7 * DAY_MS),
         "600000",
-        "time for which a finished job can be asked about",
+        "time for which the state of a finished job can be queried",
     ),
 ]);
 
 const OPERATOR: Shape = Shape::Object(&[
-    Field::required("name", Shape::Name, "name that appears in the log"),
+    Field::required("name", Shape::Name, "name of the operator in the log"),
     Field::required(
         "token-file",
         Shape::Text,
@@ -254,11 +249,11 @@
         "level",
         Shape::Choice(&["off", "error", "warn", "info", "debug"]),
         "\"info\"",
-        "least level that is written",
+        "minimum level that is written",
     ),
     Field::optional(
         "file",
         Shape::Text,
-        "file to append to; standard error if absent",
+        "file that the log is appended to; standard error if absent",
     ),
 ]);
