--- a/crates/verbenahitch/benches/placement.rs
+++ b/crates/verbenahitch/benches/placement.rs
@@ -1,4 +1,4 @@
-//! Cost of choosing a worker, and of occupying and vacating it, at 50, 300 and 1,200 workers:
+//! Cost of choosing a worker, and of committing and releasing its resources, at 50, 300 and 1,200 workers:
 //! `cargo bench -p verbenahitch --bench placement`.
 //!
 //! Each shard is filled in the proportions of the size that the system is designed for:
@@ -15,7 +15,7 @@
 use verbenahitch::domain::{
     Class, Eviction, JobKey, Monotonic, Profile, Resources, TaskKey, WorkerKey,
 };
-use verbenahitch::placement::{Ask, Choice, Placer, Resident, WorkerState};
+use verbenahitch::placement::{Choice, PlacementRequest, Placer, Resident, WorkerState};
 use verbenahitch::port::{LatencyReport, TaskUsage, Usage};
 
 const SIZES: [usize; 3] = [50, 300, 1_200];
@@ -27,25 +27,29 @@
 const SINGLE_DECISIONS: u64 = 200_000;
 const MAX_NANOS: u64 = 10_000_000_000;
 
-/// Change made to the ask of an ordinary task.
-type Change = fn(Ask) -> Ask;
+/// Change made to the request of an ordinary task.
+type Change = fn(PlacementRequest) -> PlacementRequest;
 
 /// Benchmark cases: ordinary tasks, tasks that can only be refused after a scan of all
 /// workers, and urgent tasks that need evictions.
 const CASES: [(&str, Change); 3] = [
-    ("choose", |ask| ask),
-    ("refuse", |ask| sized(ask, Resources::new(1, 60_000), false)),
-    ("evict", |ask| sized(ask, Resources::new(12, 2_048), true)),
+    ("choose", |request| request),
+    ("refuse", |request| {
+        sized(request, Resources::new(1, 60_000), false)
+    }),
+    ("evict", |request| {
+        sized(request, Resources::new(12, 2_048), true)
+    }),
 ];
 
-fn sized(mut ask: Ask, resources: Resources, urgent: bool) -> Ask {
-    let profile = Arc::make_mut(&mut ask.profile);
+fn sized(mut request: PlacementRequest, resources: Resources, urgent: bool) -> PlacementRequest {
+    let profile = Arc::make_mut(&mut request.profile);
     profile.resources = resources;
     profile.urgent = urgent;
-    ask
+    request
 }
 
-/// A filled shard, with the means to create further asks.
+/// A filled shard, with the means to create further requests.
 struct Shard {
     placer: Placer,
     workers: Vec<WorkerKey>,
@@ -113,29 +117,29 @@
     fn fill(&mut self, size: usize) {
         for at in 0..size * SERVICE_TENTHS / 10 {
             let name: Arc<str> = Arc::from(format!("service-{}", at % 4));
-            let ask = self.ask_for(name, Arc::new(service_profile(at % 4)));
+            let request = self.request_for(name, Arc::new(service_profile(at % 4)));
             match self.workers.get(at).copied() {
-                Some(worker) => self.occupy(worker, &ask),
+                Some(worker) => self.commit(worker, &request),
                 None => {
-                    self.place(&ask);
+                    self.place(&request);
                 }
             }
         }
         for _ in 0..size * BATCH_TENTHS / 10 {
-            let ask = self.ask();
-            self.place(&ask);
+            let request = self.request();
+            self.place(&request);
         }
         self.report();
     }
 
-    fn ask(&mut self) -> Ask {
+    fn request(&mut self) -> PlacementRequest {
         self.next += 1;
         let (name, profile) = self.profiles[self.next % BATCH_PROFILES].clone();
-        self.ask_for(name, profile)
+        self.request_for(name, profile)
     }
 
-    fn ask_for(&mut self, name: Arc<str>, profile: Arc<Profile>) -> Ask {
-        Ask {
+    fn request_for(&mut self, name: Arc<str>, profile: Arc<Profile>) -> PlacementRequest {
+        PlacementRequest {
             task: TaskKey {
                 job: self.jobs.insert(()),
                 index: 0,
@@ -147,26 +151,26 @@
         }
     }
 
-    fn place(&mut self, ask: &Ask) -> bool {
-        let Choice::Place { worker, .. } = self.placer.choose(ask, Monotonic(0)) else {
+    fn place(&mut self, request: &PlacementRequest) -> bool {
+        let Choice::Place { worker, .. } = self.placer.choose(request, Monotonic(0)) else {
             return false;
         };
-        self.occupy(worker, ask);
+        self.commit(worker, request);
         true
     }
 
-    fn occupy(&mut self, worker: WorkerKey, ask: &Ask) {
+    fn commit(&mut self, worker: WorkerKey, request: &PlacementRequest) {
         let resident = Resident {
-            task: ask.task,
+            task: request.task,
             run: self.runs.len() as u64,
-            name: Arc::clone(&ask.name),
-            profile: Arc::clone(&ask.profile),
-            resources: ask.profile.resources,
+            name: Arc::clone(&request.name),
+            profile: Arc::clone(&request.profile),
+            resources: request.profile.resources,
             since: Monotonic(0),
         };
-        let occupied = self.placer.occupy(worker, resident);
-        occupied.expect("the chosen worker has room for the task");
-        self.runs.push((worker, ask.task));
+        let committed = self.placer.commit(worker, resident);
+        committed.expect("the chosen worker has room for the task");
+        self.runs.push((worker, request.task));
     }
 
     /// Reports usage from every worker, so that the scores include interference estimates.
@@ -192,7 +196,7 @@
                 };
                 self.placer.observe(worker, &usage, now);
             }
-            self.placer.relieve(now);
+            self.placer.mitigate(now);
         }
     }
 
@@ -200,12 +204,12 @@
     fn turn_over(&mut self) {
         let at = self.next * 7_919 % self.runs.len();
         let (worker, task) = self.runs.swap_remove(at);
-        self.placer.vacate(worker, task);
-        let ask = self.ask();
-        if !self.place(&ask) {
+        self.placer.release(worker, task);
+        let request = self.request();
+        if !self.place(&request) {
             let (name, profile) = self.profiles[0].clone();
-            let ask = self.ask_for(name, profile);
-            self.occupy(worker, &ask);
+            let request = self.request_for(name, profile);
+            self.commit(worker, &request);
         }
     }
 }
@@ -216,14 +220,15 @@
         let mut shard = Shard::new(size);
         println!("{size} workers: {} tasks", shard.runs.len());
         for (name, change) in CASES {
-            let asks: Vec<Ask> = (0..1_024).map(|_| change(shard.ask())).collect();
-            print_percentiles(&shard, &asks, name, size);
+            let requests: Vec<PlacementRequest> =
+                (0..1_024).map(|_| change(shard.request())).collect();
+            print_percentiles(&shard, &requests, name, size);
             group.bench_function(BenchmarkId::new(name, size), |b| {
                 let mut at = 0;
                 b.iter(|| {
                     at += 1;
-                    let ask = &asks[at % asks.len()];
-                    black_box(shard.placer.choose(ask, Monotonic(at as u64)))
+                    let request = &requests[at % requests.len()];
+                    black_box(shard.placer.choose(request, Monotonic(at as u64)))
                 });
             });
         }
@@ -234,13 +239,13 @@
     group.finish();
 }
 
-fn print_percentiles(shard: &Shard, asks: &[Ask], name: &str, size: usize) {
+fn print_percentiles(shard: &Shard, requests: &[PlacementRequest], name: &str, size: usize) {
     let mut nanos = Histogram::<u64>::new_with_max(MAX_NANOS, 3).expect("the bounds are valid");
     let (mut placed, mut evicted) = (0_u64, 0_u64);
     for at in 0..SINGLE_DECISIONS {
-        let ask = &asks[at as usize % asks.len()];
+        let request = &requests[at as usize % requests.len()];
         let start = Instant::now();
-        let choice = black_box(shard.placer.choose(ask, Monotonic(at)));
+        let choice = black_box(shard.placer.choose(request, Monotonic(at)));
         let elapsed = u64::try_from(start.elapsed().as_nanos()).unwrap_or(u64::MAX);
         nanos.saturating_record(elapsed);
         placed += u64::from(matches!(choice, Choice::Place { .. }));
--- a/crates/verbenahitch/benches/routing.rs
+++ b/crates/verbenahitch/benches/routing.rs
@@ -11,8 +11,8 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use verbenahitch::config::{Declarations, Zone, ZoneState};
 use verbenahitch::domain::{Monotonic, Resources};
-use verbenahitch::gateway::admission::Freed;
-use verbenahitch::gateway::route::{Place, Table};
+use verbenahitch::gateway::admission::SlotSignal;
+use verbenahitch::gateway::route::{RoutingConfig, Table};
 use verbenahitch::port::{HostRecord, HostState};
 
 const NOW: Monotonic = Monotonic(1_000);
@@ -63,14 +63,14 @@
             state: HostState::Live,
         })
         .collect();
-    let place = Place {
+    let config = RoutingConfig {
         name: "gw".to_owned(),
         zone: "a".to_owned(),
         subset: 60,
         silence_ms: 2_000,
-        freed: Arc::new(Freed::default()),
+        slot_signal: Arc::new(SlotSignal::default()),
     };
-    Table::default().next(&place, &hosts, Arc::new(declarations))
+    Table::default().next(&config, &hosts, Arc::new(declarations))
 }
 
 fn next_random(state: &mut u64) -> u64 {
--- a/crates/verbenahitch/examples/added_latency.rs
+++ b/crates/verbenahitch/examples/added_latency.rs
@@ -19,9 +19,9 @@
 use rocket::{Config, Request, Response, routes};
 use serde_json::json;
 use verbenahitch::adapter::Store;
-use verbenahitch::config::{Current, Declarations};
+use verbenahitch::config::{CurrentDeclarations, Declarations};
 use verbenahitch::domain::Resources;
-use verbenahitch::gateway::{Callers, Deps};
+use verbenahitch::gateway::{CallerListener, Deps};
 use verbenahitch::port::{HostRecord, HostState, SystemClock};
 use verbenahitch::settings::Settings;
 
@@ -119,7 +119,7 @@
         "zones": { "a": { "state": "in" } }
     }))
     .expect("the declarations are valid");
-    let current = Current::default();
+    let current = CurrentDeclarations::default();
     current.advance(Arc::new(declarations));
     // One process serves as all upstreams, which together have slots for all callers.
     let hosts = (0..UPSTREAMS).map(|number| HostRecord {
@@ -133,7 +133,7 @@
         state: HostState::Live,
     });
     let (_hosts, list) = tokio::sync::watch::channel(Arc::new(hosts.collect()));
-    let callers = Callers::start(Deps {
+    let callers = CallerListener::start(Deps {
         settings: Arc::new(settings),
         current,
         hosts: list,
--- a/crates/verbenahitch/examples/slot_limits.rs
+++ b/crates/verbenahitch/examples/slot_limits.rs
@@ -15,8 +15,8 @@
 use rand::{Rng, RngCore, SeedableRng};
 use verbenahitch::config::{Declarations, Zone, ZoneState};
 use verbenahitch::domain::{Monotonic, Resources};
-use verbenahitch::gateway::admission::Freed;
-use verbenahitch::gateway::route::{ATTEMPTS, Place, Slot, Table};
+use verbenahitch::gateway::admission::SlotSignal;
+use verbenahitch::gateway::route::{MAX_ATTEMPTS, RoutingConfig, Slot, Table};
 use verbenahitch::port::{HostRecord, HostState};
 
 const GATEWAYS: usize = 7;
@@ -128,14 +128,14 @@
         state: HostState::Live,
     };
     let hosts: Vec<HostRecord> = (0..WORKERS).map(host).collect();
-    let place = Place {
+    let config = RoutingConfig {
         name: format!("gw-{gateway}"),
         zone: "a".to_owned(),
         subset: 60,
         silence_ms: 1_000,
-        freed: Arc::new(Freed::default()),
+        slot_signal: Arc::new(SlotSignal::default()),
     };
-    Table::default().next(&place, &hosts, Arc::new(declarations))
+    Table::default().next(&config, &hosts, Arc::new(declarations))
 }
 
 impl Simulation {
@@ -189,8 +189,8 @@
 
     /// Sends a request; false if the gateway's own limits leave no slot free.
     fn send(&mut self, gateway: usize, arrived: u64, now: u64) -> bool {
-        let mut tried = Vec::with_capacity(ATTEMPTS);
-        for _ in 0..ATTEMPTS {
+        let mut tried = Vec::with_capacity(MAX_ATTEMPTS);
+        for _ in 0..MAX_ATTEMPTS {
             let random = self.random.next_u64();
             let choice = self.tables[gateway].choose(Monotonic(now / 1_000), random, &tried);
             let Some(choice) = choice else {
@@ -234,7 +234,7 @@
         self.outcome.in_time += u64::from(latency <= DEADLINE_US);
         let upstream = done.slot.upstream();
         if matches!(self.policy, Policy::Adaptive) {
-            upstream.limit.taken(upstream.in_flight());
+            upstream.limit.accepted(upstream.in_flight());
         }
         drop(done.slot);
         while let Some(arrived) = self.waiting[done.gateway].pop_front() {
--- a/crates/verbenahitch/src/adapter/hosts.rs
+++ b/crates/verbenahitch/src/adapter/hosts.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use tokio::sync::watch;
 
-use super::http::{CallError, Http};
+use super::http::{CallError, HttpClient};
 use crate::domain::{Millis, Resources};
 use crate::port::{HostRecord, HostState, StoreError};
 
@@ -17,7 +17,7 @@
 pub struct HostList {
     address: String,
     service: String,
-    http: Http,
+    http: HttpClient,
 }
 
 #[derive(Deserialize)]
@@ -57,7 +57,7 @@
         Self {
             address: address.to_owned(),
             service: service.to_owned(),
-            http: Http::new(timeout_ms),
+            http: HttpClient::new(timeout_ms),
         }
     }
 
--- a/crates/verbenahitch/src/adapter/http.rs
+++ b/crates/verbenahitch/src/adapter/http.rs
@@ -17,7 +17,7 @@
 
 /// Shared HTTP client; clones share its connections.
 #[derive(Clone, Debug)]
-pub struct Http {
+pub struct HttpClient {
     client: Arc<ArcSwap<Client>>,
     timeout: Duration,
 }
@@ -31,7 +31,7 @@
     Unanswered(String),
 }
 
-impl Http {
+impl HttpClient {
     /// Creates a client whose calls time out after `timeout_ms`.
     pub fn new(timeout_ms: Millis) -> Self {
         Self {
@@ -54,12 +54,12 @@
     pub async fn send(&self, request: RequestBuilder) -> Result<Response, CallError> {
         match request.timeout(self.timeout).send().await {
             Ok(response) => Ok(response),
-            Err(error) if error.is_connect() => Err(CallError::NotSent(describe(&error))),
+            Err(error) if error.is_connect() => Err(CallError::NotSent(error_chain(&error))),
             Err(error) => {
                 if error.is_timeout() {
                     self.replace_pool();
                 }
-                Err(CallError::Unanswered(describe(&error)))
+                Err(CallError::Unanswered(error_chain(&error)))
             }
         }
     }
@@ -80,7 +80,7 @@
 }
 
 /// Text of an error and of all its sources, on one line.
-pub(crate) fn describe(error: &dyn std::error::Error) -> String {
+pub(crate) fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
     while let Some(inner) = source {
--- a/crates/verbenahitch/src/adapter/mod.rs
+++ b/crates/verbenahitch/src/adapter/mod.rs
@@ -7,7 +7,7 @@
 mod worker;
 
 pub use hosts::HostList;
-pub(crate) use http::describe;
-pub use http::{CallError, Http};
+pub(crate) use http::error_chain;
+pub use http::{CallError, HttpClient};
 pub use store::{Snapshot, Store};
-pub use worker::Workers;
+pub use worker::WorkerClient;
--- a/crates/verbenahitch/src/adapter/store.rs
+++ b/crates/verbenahitch/src/adapter/store.rs
@@ -8,9 +8,9 @@
 use reqwest::{RequestBuilder, Response, StatusCode};
 use serde::{Deserialize, Serialize};
 
-use super::http::{CallError, Http, describe};
+use super::http::{CallError, HttpClient, error_chain};
 use crate::domain::Millis;
-use crate::port::{Entry, Op, StoreError, Txn};
+use crate::port::{Entry, Op, StoreError, TxnOutcome};
 
 /// Time added to the requested wait of a watch for its HTTP timeout, in milliseconds.
 const WATCH_MARGIN_MS: Millis = 2_000;
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug)]
 pub struct Store {
     address: String,
-    http: Http,
+    http: HttpClient,
 }
 
 /// State of a key, or of all keys under a prefix, at one index.
@@ -109,7 +109,7 @@
     pub fn new(address: &str, timeout_ms: Millis) -> Self {
         Self {
             address: address.to_owned(),
-            http: Http::new(timeout_ms),
+            http: HttpClient::new(timeout_ms),
         }
     }
 
@@ -155,7 +155,7 @@
                 if error.is_timeout() {
                     self.http.replace_pool();
                 }
-                return Err(self.unreachable(describe(&error)));
+                return Err(self.unreachable(error_chain(&error)));
             }
         };
         self.decode_entries(response).await
@@ -216,7 +216,7 @@
     /// # Errors
     ///
     /// When the store does not answer; [`StoreError`] shows whether the call may have taken effect.
-    pub async fn transact(&self, ops: &[Op]) -> Result<Txn, StoreError> {
+    pub async fn transact(&self, ops: &[Op]) -> Result<TxnOutcome, StoreError> {
         let wire: Vec<WireOp<'_>> = ops.iter().map(wire_op).collect();
         let request = self.http.client().put(self.url("txn")).json(&wire);
         let response = match self.http.send(request).await {
@@ -232,7 +232,7 @@
             .map(|error| error.op_index)
             .collect();
         if !failed.is_empty() {
-            return Ok(Txn::Conflict { failed });
+            return Ok(TxnOutcome::Conflict { failed });
         }
         let indices = txn
             .results
@@ -240,7 +240,7 @@
             .flatten()
             .filter_map(|result| result.kv.as_ref());
         let index = indices.map(|kv| kv.modify_index).max().unwrap_or(0);
-        Ok(Txn::Committed { index })
+        Ok(TxnOutcome::Committed { index })
     }
 
     /// Creates a session that lapses `ttl_ms` after its last renewal; returns its ID.
@@ -349,8 +349,8 @@
         Ok(Entry {
             key: wire.key,
             value,
-            modify: wire.modify_index,
-            lock: wire.lock_index,
+            modify_index: wire.modify_index,
+            lock_index: wire.lock_index,
             session: wire.session.filter(|session| !session.is_empty()),
         })
     }
@@ -365,7 +365,7 @@
                 if error.is_timeout() {
                     self.http.replace_pool();
                 }
-                return Err(self.unanswered(describe(&error)));
+                return Err(self.unanswered(error_chain(&error)));
             }
         };
         serde_json::from_slice(&bytes).map_err(|error| self.malformed(&error))
@@ -393,7 +393,7 @@
     }
 
     fn malformed(&self, error: &dyn std::error::Error) -> StoreError {
-        self.unanswered(format!("malformed answer: {}", describe(error)))
+        self.unanswered(format!("malformed answer: {}", error_chain(error)))
     }
 }
 
--- a/crates/verbenahitch/src/adapter/worker.rs
+++ b/crates/verbenahitch/src/adapter/worker.rs
@@ -3,14 +3,14 @@
 use reqwest::StatusCode;
 use serde::Deserialize;
 
-use super::http::{CallError, Http, describe};
+use super::http::{CallError, HttpClient, error_chain};
 use crate::domain::Millis;
 use crate::port::{SyncError, SyncReply, SyncRequest};
 
 /// Client for the task interface of every worker; clones share its connections.
 #[derive(Clone, Debug)]
-pub struct Workers {
-    http: Http,
+pub struct WorkerClient {
+    http: HttpClient,
 }
 
 #[derive(Deserialize)]
@@ -23,11 +23,11 @@
     clock: Millis,
 }
 
-impl Workers {
+impl WorkerClient {
     /// Creates a client whose calls time out after `timeout_ms`.
     pub fn new(timeout_ms: Millis) -> Self {
         Self {
-            http: Http::new(timeout_ms),
+            http: HttpClient::new(timeout_ms),
         }
     }
 
@@ -48,7 +48,7 @@
             if error.is_timeout() {
                 self.http.replace_pool();
             }
-            unanswered(describe(&error))
+            unanswered(error_chain(&error))
         })?;
         match status {
             StatusCode::OK => decode(&bytes),
--- a/crates/verbenahitch/src/client/mod.rs
+++ b/crates/verbenahitch/src/client/mod.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 use snafu::{ResultExt, Snafu};
 
-use crate::adapter::{CallError, Http};
+use crate::adapter::{CallError, HttpClient};
 use crate::config::Declarations;
 use crate::domain::{JobSpec, Millis};
 use crate::settings::{TokenError, read_token};
@@ -25,7 +25,7 @@
 pub struct Client {
     gateway: SocketAddr,
     token: String,
-    http: Http,
+    http: HttpClient,
 }
 
 /// Why a call failed.
@@ -98,7 +98,7 @@
         Ok(Self {
             gateway,
             token: token.trim().to_owned(),
-            http: Http::new(TIMEOUT_MS),
+            http: HttpClient::new(TIMEOUT_MS),
         })
     }
 
--- a/crates/verbenahitch/src/config/adopt.rs
+++ b/crates/verbenahitch/src/config/adopt.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Arc;
 
-use super::{Current, Declarations};
+use super::{CurrentDeclarations, Declarations};
 use crate::event::{Entry, Kind};
 
 /// Puts `next` in force if its revision is newer; returns whether it was.
-pub fn adopt(current: &Current, next: Declarations, source: &str) -> bool {
+pub fn adopt(current: &CurrentDeclarations, next: Declarations, source: &str) -> bool {
     let revision = next.revision;
     let adopted = current.advance(Arc::new(next));
     if adopted {
@@ -24,7 +24,7 @@
 ///
 /// When the document is malformed; the error is logged and the declarations in force stay.
 pub fn adopt_text(
-    current: &Current,
+    current: &CurrentDeclarations,
     document: &str,
     source: &str,
 ) -> Result<bool, serde_json::Error> {
--- a/crates/verbenahitch/src/config/change.rs
+++ b/crates/verbenahitch/src/config/change.rs
@@ -10,7 +10,7 @@
 
 use super::{DECLARATIONS_KEY, Declarations, Fault, ZoneState};
 use crate::adapter::Store;
-use crate::port::{Entry, Op, StoreError, Txn};
+use crate::port::{Entry, Op, StoreError, TxnOutcome};
 
 /// Attempts at one write while its outcome is unknown.
 const MAX_WRITE_ATTEMPTS: u32 = 4;
@@ -65,7 +65,7 @@
     },
     /// The outcome is unknown: the change may have been accepted.
     #[snafu(display("it is not known whether the change was accepted: {reason}"))]
-    Unclear {
+    UnknownOutcome {
         /// Why.
         reason: String,
     },
@@ -169,8 +169,8 @@
     let mut lost_answer = None;
     for _ in 0..MAX_WRITE_ATTEMPTS {
         match store.transact(&ops).await {
-            Ok(Txn::Committed { .. }) => return Ok(next),
-            Ok(Txn::Conflict { .. }) => {
+            Ok(TxnOutcome::Committed { .. }) => return Ok(next),
+            Ok(TxnOutcome::Conflict { .. }) => {
                 return resolve_conflict(store, next, from, author, lost_answer).await;
             }
             Err(StoreError::Unanswered { reason, .. }) => lost_answer = Some(reason),
@@ -182,7 +182,7 @@
         }
     }
     let reason = lost_answer.unwrap_or_default();
-    Err(ChangeError::Unclear { reason })
+    Err(ChangeError::UnknownOutcome { reason })
 }
 
 /// Determines whether this write itself caused the conflict, by an earlier
@@ -195,7 +195,7 @@
     lost_answer: Option<String>,
 ) -> Result<Declarations, ChangeError> {
     let failure = |error: String| match lost_answer.clone() {
-        Some(_) => ChangeError::Unclear { reason: error },
+        Some(_) => ChangeError::UnknownOutcome { reason: error },
         None => ChangeError::Unavailable { reason: error },
     };
     let record = store.get(&change_record_key(next.revision)).await;
@@ -240,7 +240,12 @@
     let unavailable = |reason: String| ChangeError::Unavailable { reason };
     let entry = store.get(DECLARATIONS_KEY).await;
     let entry = entry.map_err(|error| unavailable(error.to_string()))?;
-    let Some(Entry { value, modify, .. }) = entry else {
+    let Some(Entry {
+        value,
+        modify_index,
+        ..
+    }) = entry
+    else {
         return Ok(Stored {
             declarations: Declarations::default(),
             index: 0,
@@ -251,7 +256,7 @@
         declarations.map_err(|error| unavailable(format!("malformed declarations: {error}")))?;
     Ok(Stored {
         declarations,
-        index: modify,
+        index: modify_index,
     })
 }
 
--- a/crates/verbenahitch/src/config/current.rs
+++ b/crates/verbenahitch/src/config/current.rs
@@ -9,12 +9,12 @@
 
 /// Declarations in force in this process; clones share them.
 #[derive(Clone, Debug)]
-pub struct Current {
+pub struct CurrentDeclarations {
     declarations: Arc<ArcSwap<Declarations>>,
     revision_sender: Arc<watch::Sender<u64>>,
 }
 
-impl Default for Current {
+impl Default for CurrentDeclarations {
     fn default() -> Self {
         Self {
             declarations: Arc::new(ArcSwap::from_pointee(Declarations::default())),
@@ -23,7 +23,7 @@
     }
 }
 
-impl Current {
+impl CurrentDeclarations {
     /// Declarations in force.
     pub fn load(&self) -> Arc<Declarations> {
         self.declarations.load_full()
--- a/crates/verbenahitch/src/config/declarations.rs
+++ b/crates/verbenahitch/src/config/declarations.rs
@@ -106,7 +106,7 @@
     }
 
     /// Whether the zone is declared and in service.
-    pub fn is_in(&self, zone: &str) -> bool {
+    pub fn is_in_service(&self, zone: &str) -> bool {
         self.zones
             .get(zone)
             .is_some_and(|zone| zone.state == ZoneState::In)
--- a/crates/verbenahitch/src/config/mod.rs
+++ b/crates/verbenahitch/src/config/mod.rs
@@ -10,7 +10,7 @@
 pub mod watch;
 
 pub use adopt::{adopt, adopt_text};
-pub use current::Current;
+pub use current::CurrentDeclarations;
 pub use declarations::{
     DECLARATIONS_KEY, Declarations, Fault, Kind, Team, Zone, ZoneState, token_digest,
 };
--- a/crates/verbenahitch/src/config/permit.rs
+++ b/crates/verbenahitch/src/config/permit.rs
@@ -18,8 +18,8 @@
 use super::Declarations;
 use crate::domain::{Millis, Monotonic};
 use crate::event::{Entry, Kind};
-use crate::membership::Testimony;
-use crate::peer::Evidence;
+use crate::membership::StoreReport;
+use crate::peer::StoreReports;
 
 /// Origin of a proof.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -68,19 +68,19 @@
     ///
     /// `store_contact` is the sending time of this process's newest answered read
     /// of the declarations; `declarations` are those in force in this process.
-    pub fn review(
+    pub fn evaluate(
         &mut self,
         store_contact: Option<Monotonic>,
-        evidence: &Evidence,
+        store_reports: &StoreReports,
         declarations: &Declarations,
         zone: &str,
         now: Monotonic,
     ) -> Monotonic {
-        if !declarations.is_in(zone) {
+        if !declarations.is_in_service(zone) {
             self.until = Monotonic::default();
             return self.until;
         }
-        let reports = &evidence.testimonies;
+        let reports = &store_reports.reports;
         let own = store_contact.map(|at| Proof {
             source: ProofSource::Store,
             at,
@@ -120,7 +120,7 @@
     fn outage_proof(
         &self,
         store_contact: Option<Monotonic>,
-        reports: &[Testimony],
+        reports: &[StoreReport],
         declarations: &Declarations,
         zone: &str,
         now: Monotonic,
@@ -129,7 +129,7 @@
         if store_contact.is_some_and(is_recent) {
             return None;
         }
-        let live: Vec<&Testimony> = reports
+        let live: Vec<&StoreReport> = reports
             .iter()
             .filter(|report| is_recent(report.heard))
             .collect();
@@ -146,18 +146,18 @@
     }
 
     /// Instant at which the reporting process provably could not reach the store.
-    fn unreachable_at(&self, report: &Testimony, revision: u64) -> Option<Monotonic> {
+    fn unreachable_at(&self, report: &StoreReport, revision: u64) -> Option<Monotonic> {
         let unreachable = report.store_age_ms.is_none_or(|age| age > self.permit_ms);
         let revision_known = report.revision <= revision;
-        report.proven.filter(|_| unreachable && revision_known)
+        report.made_after.filter(|_| unreachable && revision_known)
     }
 }
 
-fn peer_proof(report: &Testimony, revision: u64) -> Option<Proof> {
+fn peer_proof(report: &StoreReport, revision: u64) -> Option<Proof> {
     let age = report.store_age_ms?;
-    let proven = report.proven.filter(|_| report.revision <= revision)?;
+    let made_after = report.made_after.filter(|_| report.revision <= revision)?;
     Some(Proof {
         source: ProofSource::Peer(report.name.clone()),
-        at: Monotonic(proven.0.checked_sub(age)?),
+        at: Monotonic(made_after.0.checked_sub(age)?),
     })
 }
--- a/crates/verbenahitch/src/config/watch.rs
+++ b/crates/verbenahitch/src/config/watch.rs
@@ -9,7 +9,7 @@
 
 use rand::Rng;
 
-use super::{Current, DECLARATIONS_KEY, adopt_text};
+use super::{CurrentDeclarations, DECLARATIONS_KEY, adopt_text};
 use crate::adapter::{Snapshot, Store};
 use crate::domain::Millis;
 use crate::event::{Entry, Kind};
@@ -28,7 +28,12 @@
 
 /// Watches the declarations, puts newer ones in force and reports each contact
 /// with the store to the peers, until cancelled.
-pub async fn run(store: Store, current: Current, handle: Handle, clock: Arc<dyn Clock>) {
+pub async fn run(
+    store: Store,
+    current: CurrentDeclarations,
+    handle: Handle,
+    clock: Arc<dyn Clock>,
+) {
     let mut index = 0;
     let mut failures = 0;
     loop {
@@ -68,7 +73,7 @@
 }
 
 /// Puts the declarations that were read in force; false if they are malformed.
-fn adopt_snapshot(current: &Current, snapshot: &Snapshot) -> bool {
+fn adopt_snapshot(current: &CurrentDeclarations, snapshot: &Snapshot) -> bool {
     let Some(entry) = snapshot.entries.last() else {
         return true;
     };
--- a/crates/verbenahitch/src/dispatch/assign.rs
+++ b/crates/verbenahitch/src/dispatch/assign.rs
@@ -220,7 +220,7 @@
         }
         let pool = self.queue_of(job).pool.clone();
         let spec = spec.clone();
-        let request = place::PlacementRequest::new(&mut self.interference, &spec);
+        let request = place::AssignmentRequest::new(&mut self.interference, &spec);
         let (mut candidates, mut misfits) = self.candidates(&pool, &request, &per_worker, pass);
         for (index, avoid) in waiting {
             let Some(worker) = cheapest(&mut candidates, avoid) else {
@@ -251,7 +251,7 @@
     fn candidates(
         &mut self,
         pool: &str,
-        request: &place::PlacementRequest<'_>,
+        request: &place::AssignmentRequest<'_>,
         per_worker: &SecondaryMap<WorkerKey, u32>,
         pass: &AssignPass,
     ) -> (BinaryHeap<Candidate>, MisfitCounts) {
@@ -274,7 +274,7 @@
     fn cost(
         &mut self,
         key: WorkerKey,
-        request: &place::PlacementRequest<'_>,
+        request: &place::AssignmentRequest<'_>,
         same_step: u32,
         now: Monotonic,
     ) -> Result<f64, Misfit> {
--- a/crates/verbenahitch/src/dispatch/commit.rs
+++ b/crates/verbenahitch/src/dispatch/commit.rs
@@ -50,7 +50,7 @@
                         runs: runs
                             .map(|run| {
                                 let info = &self.workers[run.worker].info;
-                                RunRecord(run.number, info.name.clone(), info.born)
+                                RunRecord(run.number, info.name.clone(), info.incarnation)
                             })
                             .collect(),
                         checkpoint: task.checkpoint.clone(),
@@ -65,7 +65,7 @@
     }
 
     /// Records that the store holds the last taken writes.
-    pub fn written(&mut self, now: Monotonic) {
+    pub fn commit_stored(&mut self, now: Monotonic) {
         let written = std::mem::take(&mut self.writing);
         for (id, version) in written {
             let Some(job) = self.jobs.get_mut(&id) else {
--- a/crates/verbenahitch/src/dispatch/ends.rs
+++ b/crates/verbenahitch/src/dispatch/ends.rs
@@ -16,7 +16,7 @@
 
 impl Dispatcher {
     /// Applies a new or changed registry entry.
-    pub fn list_worker(&mut self, info: WorkerInfo, now: Monotonic) {
+    pub fn upsert_worker(&mut self, info: WorkerInfo, now: Monotonic) {
         let Some(&key) = self.worker_keys.get(&info.name) else {
             let name = info.name.clone();
             let key = self.workers.insert(Worker::new(info));
@@ -35,11 +35,11 @@
         if worker.info.address != info.address {
             worker.next_poll = now;
         }
-        let born = worker.info.born;
+        let incarnation = worker.info.incarnation;
         worker.info = info;
         // The incarnation that answers the polls counts, not the one in the registry.
-        if born != 0 && worker.clock.is_some() {
-            worker.info.born = born;
+        if incarnation != 0 && worker.clock.is_some() {
+            worker.info.incarnation = incarnation;
         }
         if self.workers[key].info.draining {
             self.stop_standing(key);
--- a/crates/verbenahitch/src/dispatch/interference.rs
+++ b/crates/verbenahitch/src/dispatch/interference.rs
@@ -202,7 +202,7 @@
     }
 
     /// Learned pressures.
-    pub fn learned(&self) -> Vec<Pressure> {
+    pub fn learned_pressures(&self) -> Vec<Pressure> {
         let mut learned: Vec<Pressure> = self
             .pairs
             .iter()
@@ -220,7 +220,7 @@
     }
 
     /// Restores pressures that an earlier owner learned.
-    pub fn relearn(&mut self, learned: &[Pressure]) {
+    pub fn restore_pressures(&mut self, learned: &[Pressure]) {
         for Pressure(filler, standing, value) in learned {
             let pair = (self.image_id(filler), self.image_id(standing));
             self.pairs.insert(pair, value.clamp(0.0, PRESSURE_MAX));
--- a/crates/verbenahitch/src/dispatch/mod.rs
+++ b/crates/verbenahitch/src/dispatch/mod.rs
@@ -52,7 +52,7 @@
     TaskId,
 };
 pub use report::{
-    CallFailure, EndCause, EndedEntry, Look, Order, ProgressRecord, Report, RunRecord,
+    CallFailure, EndCause, EndedEntry, Order, Poll, ProgressRecord, Report, RunRecord,
     RunningEntry, Start, Target, TaskRecord, Write,
 };
 use table::{Job, Round};
@@ -191,7 +191,7 @@
     }
 
     /// Adds a job that ended under an earlier owner.
-    pub fn remember(&mut self, id: JobId, state: JobState, now: Now) {
+    pub fn add_ended(&mut self, id: JobId, state: JobState, now: Now) {
         self.jobs.insert(id, Job::ended(state, now));
     }
 
@@ -231,12 +231,12 @@
 
     /// Sets whether the ownership is in doubt; while it is, no lease is extended and no
     /// run is started.
-    pub fn suspend(&mut self, is_suspended: bool) {
+    pub fn set_suspended(&mut self, is_suspended: bool) {
         self.is_suspended = is_suspended;
     }
 
     /// Records that the store confirmed the ownership at `now`.
-    pub fn confirm(&mut self, now: Monotonic) {
+    pub fn confirm_ownership(&mut self, now: Monotonic) {
         self.ownership_at = now;
     }
 
@@ -287,13 +287,13 @@
     }
 
     /// Learned pressures between images.
-    pub fn learned(&self) -> Vec<Pressure> {
-        self.interference.learned()
+    pub fn learned_pressures(&self) -> Vec<Pressure> {
+        self.interference.learned_pressures()
     }
 
     /// Restores pressures that an earlier owner learned.
-    pub fn relearn(&mut self, learned: &[Pressure]) {
-        self.interference.relearn(learned);
+    pub fn restore_pressures(&mut self, learned: &[Pressure]) {
+        self.interference.restore_pressures(learned);
     }
 
     /// Number of usable workers, and of runs.
--- a/crates/verbenahitch/src/dispatch/place.rs
+++ b/crates/verbenahitch/src/dispatch/place.rs
@@ -97,14 +97,14 @@
 
 /// Tasks of a step to be placed.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct PlacementRequest<'a> {
+pub(super) struct AssignmentRequest<'a> {
     pub step: &'a StepSpec,
     image: ImageId,
     /// Harmfulness of a filler, zero for other tasks.
     harmfulness: f64,
 }
 
-impl<'a> PlacementRequest<'a> {
+impl<'a> AssignmentRequest<'a> {
     pub fn new(model: &mut InterferenceModel, step: &'a StepSpec) -> Self {
         let image = model.image_id(&step.image);
         Self {
@@ -223,7 +223,7 @@
 pub(super) fn load_cost(
     worker: &Worker,
     load: &Load,
-    request: &PlacementRequest<'_>,
+    request: &AssignmentRequest<'_>,
     same_step: u32,
     model: &InterferenceModel,
 ) -> Result<f64, Misfit> {
--- a/crates/verbenahitch/src/dispatch/polls.rs
+++ b/crates/verbenahitch/src/dispatch/polls.rs
@@ -1,7 +1,7 @@
 //! Polls of workers: a poll extends a worker's leases, acknowledges ends, and reads
 //! which runs are in progress or have ended.
 
-use super::report::{CallFailure, EndCause, Look, Order, Report, RunningEntry};
+use super::report::{CallFailure, EndCause, Order, Poll, Report, RunningEntry};
 use super::worker::{UnackedEnd, WorkerKey};
 use super::{Dispatcher, Phase, RunKey, TaskId};
 use crate::domain::{Millis, Monotonic};
@@ -67,7 +67,7 @@
             worker.poll_sent = Some(now);
             let is_long_poll =
                 !worker.runs.is_empty() && worker.clock.is_some() && worker.unacked_ends.is_empty();
-            orders.push(Order::Look(Look {
+            orders.push(Order::Poll(Poll {
                 worker: key,
                 name: worker.info.name.clone(),
                 address: worker.info.address.clone(),
@@ -79,7 +79,7 @@
     }
 
     /// Applies the outcome of a poll.
-    pub fn looked(&mut self, key: WorkerKey, result: Result<Report, CallFailure>, now: Monotonic) {
+    pub fn polled(&mut self, key: WorkerKey, result: Result<Report, CallFailure>, now: Monotonic) {
         let Some(worker) = self.workers.get_mut(key) else {
             return;
         };
@@ -104,13 +104,16 @@
         }
         worker.failed_polls = 0;
         worker.answered_at = Some(sent);
-        if report.born != 0 && worker.info.born != 0 && report.born != worker.info.born {
-            self.worker_restarted(key, report.born, now);
+        if report.incarnation != 0
+            && worker.info.incarnation != 0
+            && report.incarnation != worker.info.incarnation
+        {
+            self.worker_restarted(key, report.incarnation, now);
         }
         self.loads.remove(key);
         let worker = &mut self.workers[key];
-        if worker.info.born == 0 {
-            worker.info.born = report.born;
+        if worker.info.incarnation == 0 {
+            worker.info.incarnation = report.incarnation;
         }
         worker.read_clock(report.clock_ms, now);
         if self.quorum_at.is_none() && self.has_quorum(now) {
@@ -194,11 +197,11 @@
             run.phase = Phase::Live;
             run.confirmed_at.get_or_insert(now);
         }
-        if entry.percent != run.progress {
-            run.progress = entry.percent;
+        if entry.progress_percent != run.progress {
+            run.progress = entry.progress_percent;
             run.progressed_at = now;
         }
-        run.tail_ms = entry.figure;
+        run.tail_ms = entry.measurement;
         let id = run.task.job;
         if let Some(task) = self.task_mut(entry.task)
             && !entry.checkpoint.is_empty()
@@ -235,13 +238,13 @@
 
     /// Handles the restart of a worker under its name: ends the runs of the earlier
     /// incarnation.
-    fn worker_restarted(&mut self, key: WorkerKey, born: u64, now: Monotonic) {
+    fn worker_restarted(&mut self, key: WorkerKey, incarnation: u64, now: Monotonic) {
         let worker = &mut self.workers[key];
         Entry::new(Kind::WorkerAnswering)
             .with("worker", &worker.info.name)
-            .with("born", born)
+            .with("born", incarnation)
             .emit();
-        worker.reset_incarnation(born);
+        worker.reset_incarnation(incarnation);
         let runs: Vec<RunKey> = worker.runs.iter().copied().collect();
         for run in runs {
             // An unanswered start may still reach the new incarnation.
--- a/crates/verbenahitch/src/dispatch/recover.rs
+++ b/crates/verbenahitch/src/dispatch/recover.rs
@@ -78,13 +78,13 @@
     }
 
     /// Worker of that name; one that is unknown is added unlisted and without address.
-    fn worker_named(&mut self, name: &str, born: u64) -> WorkerKey {
+    fn worker_named(&mut self, name: &str, incarnation: u64) -> WorkerKey {
         if let Some(key) = self.worker_keys.get(name) {
             return *key;
         }
         let mut worker = Worker::new(WorkerInfo {
             name: name.to_owned(),
-            born,
+            incarnation,
             ..WorkerInfo::default()
         });
         worker.listed = false;
--- a/crates/verbenahitch/src/dispatch/report.rs
+++ b/crates/verbenahitch/src/dispatch/report.rs
@@ -37,9 +37,9 @@
     /// Newest checkpoint, empty for none.
     pub checkpoint: String,
     /// Progress in percent; 100 for a standing task that serves.
-    pub percent: u8,
+    pub progress_percent: u8,
     /// Tail latency of a standing task in milliseconds; CPU in use for other tasks.
-    pub figure: Millis,
+    pub measurement: Millis,
 }
 
 /// A run that a worker lists as ended.
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
     /// Start of the worker's incarnation, zero if it is not reported.
-    pub born: u64,
+    pub incarnation: u64,
     /// The worker's clock in milliseconds.
     pub clock_ms: Millis,
     /// Runs in progress.
@@ -97,7 +97,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
     /// Extend the leases of a worker and read its lists.
-    Look(Look),
+    Poll(Poll),
     /// Start a run.
     Start(Start),
     /// Stop a run.
@@ -108,7 +108,7 @@
 
 /// Poll of a worker: extends its leases and waits for ends.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Look {
+pub struct Poll {
     /// Worker.
     pub worker: WorkerKey,
     /// Its name.
--- a/crates/verbenahitch/src/dispatch/worker.rs
+++ b/crates/verbenahitch/src/dispatch/worker.rs
@@ -42,7 +42,7 @@
     /// Minimum time until it leaves, in milliseconds, while it drains.
     pub remaining_ms: Millis,
     /// Start of its incarnation in milliseconds since the Unix epoch, zero if unknown.
-    pub born: u64,
+    pub incarnation: u64,
 }
 
 /// Reading of a worker's clock, from its last answer.
@@ -147,8 +147,8 @@
     }
 
     /// Resets the state that belonged to an earlier incarnation.
-    pub fn reset_incarnation(&mut self, born: u64) {
-        self.info.born = born;
+    pub fn reset_incarnation(&mut self, incarnation: u64) {
+        self.info.incarnation = incarnation;
         self.clock = None;
         self.lease_end = 0;
         self.unacked_ends.clear();
--- a/crates/verbenahitch/src/domain/job.rs
+++ b/crates/verbenahitch/src/domain/job.rs
@@ -67,7 +67,7 @@
     ///
     /// The worker name is hashed with a digest that must not change between
     /// versions, so that all processes assign a worker to the same shard.
-    pub fn holding(zone: &str, worker: &str, shards: u32) -> Self {
+    pub fn of_worker(zone: &str, worker: &str, shards: u32) -> Self {
         let digest = Sha256::digest(worker.as_bytes());
         let (prefix, _) = digest.split_at(size_of::<u64>());
         let number = prefix
--- a/crates/verbenahitch/src/entry/host.rs
+++ b/crates/verbenahitch/src/entry/host.rs
@@ -197,7 +197,7 @@
     zones: &mut HashMap<String, String>,
     item: &Item,
 ) {
-    match shared.platform.directive(item) {
+    match shared.platform.parse_directive(item) {
         Ok(Directive::Queues(queues)) => {
             let held = shared.queues.load_full();
             if held.is_some_and(|held| held.version >= queues.version) {
--- a/crates/verbenahitch/src/entry/intake.rs
+++ b/crates/verbenahitch/src/entry/intake.rs
@@ -170,7 +170,7 @@
         }
         let transaction = Transaction {
             expected: vec![(key.clone(), 0)],
-            puts: vec![Put::lasting(key, value)],
+            puts: vec![Put::persistent(key, value)],
             removes: Vec::new(),
         };
         let kv = self.shared.platform.kv();
--- a/crates/verbenahitch/src/entry/owner/commit.rs
+++ b/crates/verbenahitch/src/entry/owner/commit.rs
@@ -23,7 +23,7 @@
                 (keys::OWNER.to_owned(), self.term.fence),
                 (keys::COMMIT.to_owned(), self.commit_revision),
             ],
-            puts: vec![Put::lasting(keys::COMMIT.to_owned(), mark.into_bytes())],
+            puts: vec![Put::persistent(keys::COMMIT.to_owned(), mark.into_bytes())],
             removes: Vec::new(),
         };
         for write in writes {
@@ -32,14 +32,14 @@
                 record.state.is_final() && record.tasks.iter().all(|task| task.runs.is_empty());
             if has_ended {
                 let entry = JobEntry::Ended(record.state);
-                let put = Put::lasting(keys::job(write.job), keys::encode(&entry));
+                let put = Put::persistent(keys::job(write.job), keys::encode(&entry));
                 transaction.puts.push(put);
                 transaction.removes.push(keys::progress(write.job));
                 if record.state == JobState::Cancelled {
                     transaction.removes.push(keys::cancel(write.job));
                 }
             } else {
-                let put = Put::lasting(keys::progress(write.job), keys::encode(record));
+                let put = Put::persistent(keys::progress(write.job), keys::encode(record));
                 transaction.puts.push(put);
             }
         }
@@ -55,9 +55,9 @@
         self.pressures_at = now;
         let (workers, runs) = self.dispatcher.counts(now);
         observe::set_owner_gauges(workers, runs);
-        let learned = self.dispatcher.learned();
+        let learned = self.dispatcher.learned_pressures();
         if learned != self.stored_pressures {
-            let put = Put::lasting(keys::PRESSURES.to_owned(), keys::encode(&learned));
+            let put = Put::persistent(keys::PRESSURES.to_owned(), keys::encode(&learned));
             transaction.puts.push(put);
             self.stored_pressures = learned;
         }
@@ -88,7 +88,7 @@
             Ok(revision) => {
                 self.commit_revision = revision;
                 self.pending_commit = None;
-                self.dispatcher.written(now);
+                self.dispatcher.commit_stored(now);
             }
             Err(KvError::Conflict { items }) => {
                 // An earlier attempt that got no answer may have been applied.
@@ -109,7 +109,7 @@
                 };
                 self.commit_revision = applied.revision;
                 self.pending_commit = None;
-                self.dispatcher.written(now);
+                self.dispatcher.commit_stored(now);
             }
             Err(error) => {
                 log::info!("a commit failed and is sent again: {error}");
--- a/crates/verbenahitch/src/entry/owner/driver.rs
+++ b/crates/verbenahitch/src/entry/owner/driver.rs
@@ -96,7 +96,7 @@
             calls: JoinSet::new(),
         };
         if let Some(learned) = learned?.as_ref().and_then(decode::<Vec<Pressure>>) {
-            driver.dispatcher.relearn(&learned);
+            driver.dispatcher.restore_pressures(&learned);
         }
         driver.declare();
         driver.apply_registry(WatchUpdate::Listed(registry?.0));
@@ -131,7 +131,7 @@
                 self.dispatcher
                     .recover(id, record, records.remove(&id), now);
             }
-            Some(JobEntry::Ended(state)) => self.dispatcher.remember(id, state, now),
+            Some(JobEntry::Ended(state)) => self.dispatcher.add_ended(id, state, now),
             None => {}
         }
     }
@@ -161,7 +161,7 @@
                 log::warn!(
                     "this process was paused; orders are suspended until the owner's lease is renewed"
                 );
-                self.dispatcher.suspend(true);
+                self.dispatcher.set_suspended(true);
             }
             let mut next = event.ok().flatten();
             while let Some(event) = next {
@@ -206,7 +206,7 @@
             OwnerEvent::Waiting(queue, answer) => {
                 let _ = answer.send(self.dispatcher.waiting(&queue));
             }
-            OwnerEvent::Looked(worker, result) => self.dispatcher.looked(worker, result, now.at),
+            OwnerEvent::Polled(worker, result) => self.dispatcher.polled(worker, result, now.at),
             OwnerEvent::Started(run, result) => self.dispatcher.started(run, result, now.at),
             OwnerEvent::Stopped(run, result) => self.dispatcher.stopped(run, result, now.at),
             OwnerEvent::Paced(run, percent, result) => {
@@ -217,8 +217,8 @@
             OwnerEvent::Intake(update) => self.apply_intake(update),
             OwnerEvent::Declared => self.declare(),
             OwnerEvent::Renewed(sent) => {
-                self.dispatcher.confirm(sent);
-                self.dispatcher.suspend(false);
+                self.dispatcher.confirm_ownership(sent);
+                self.dispatcher.set_suspended(false);
             }
             OwnerEvent::LeaseEnded => return Some(Outcome::LeaseEnded),
             OwnerEvent::Stop => return Some(Outcome::Stopped),
@@ -250,10 +250,10 @@
         self.calls.spawn_local(async move {
             let began = Instant::now();
             let (kind, is_ok, event) = match order {
-                Order::Look(look) => {
-                    let result = platform.look(&look, fence).await;
+                Order::Poll(poll) => {
+                    let result = platform.poll(&poll, fence).await;
                     let is_ok = result.is_ok();
-                    ("look", is_ok, OwnerEvent::Looked(look.worker, result))
+                    ("look", is_ok, OwnerEvent::Polled(poll.worker, result))
                 }
                 Order::Start(start) => {
                     let result = platform.start(&start, fence).await;
--- a/crates/verbenahitch/src/entry/owner/mod.rs
+++ b/crates/verbenahitch/src/entry/owner/mod.rs
@@ -42,7 +42,7 @@
     Cancelled(JobId),
     State(JobId, oneshot::Sender<Option<JobState>>),
     Waiting(String, oneshot::Sender<usize>),
-    Looked(WorkerKey, Result<Report, CallFailure>),
+    Polled(WorkerKey, Result<Report, CallFailure>),
     Started(RunKey, Result<Millis, CallFailure>),
     Stopped(RunKey, Result<Millis, CallFailure>),
     Paced(RunKey, u8, Result<Millis, CallFailure>),
--- a/crates/verbenahitch/src/entry/owner/updates.rs
+++ b/crates/verbenahitch/src/entry/owner/updates.rs
@@ -20,13 +20,13 @@
                     self.unlist_worker(&key);
                 }
                 for item in &items {
-                    self.list_worker(item);
+                    self.upsert_worker(item);
                 }
             }
             WatchUpdate::Changes(changes) => {
                 for change in changes {
                     match change {
-                        Change::Put(item) => self.list_worker(&item),
+                        Change::Put(item) => self.upsert_worker(&item),
                         Change::Removed(key) => self.unlist_worker(&key),
                     }
                 }
@@ -35,12 +35,12 @@
         }
     }
 
-    pub(super) fn list_worker(&mut self, item: &Item) {
-        match self.shared.platform.worker(item) {
+    pub(super) fn upsert_worker(&mut self, item: &Item) {
+        match self.shared.platform.parse_worker(item) {
             Ok(info) => {
                 self.worker_names
                     .insert(item.key.clone(), info.name.clone());
-                self.dispatcher.list_worker(info, self.clock.now());
+                self.dispatcher.upsert_worker(info, self.clock.now());
             }
             Err(cause) => {
                 Entry::new(Kind::DeclarationUnreadable)
--- a/crates/verbenahitch/src/gateway/admission/control.rs
+++ b/crates/verbenahitch/src/gateway/admission/control.rs
@@ -8,8 +8,8 @@
 
 use crate::domain::{Millis, Monotonic};
 
-use super::freed::Freed;
 use super::queue::{Queue, QueueKey, Shed};
+use super::slot_signal::SlotSignal;
 use crate::gateway::path::Call;
 use crate::gateway::path::Shared;
 use crate::gateway::path::{Cause, Refusal};
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub struct Admission {
     waiters: mpsc::Sender<Waiter>,
-    freed: Arc<Freed>,
+    slot_signal: Arc<SlotSignal>,
 }
 
 impl Admission {
@@ -41,14 +41,14 @@
         let (waiters, receiver) = mpsc::channel(capacity.max(1));
         let admission = Self {
             waiters,
-            freed: Arc::default(),
+            slot_signal: Arc::default(),
         };
         (admission, receiver)
     }
 
     /// Signal of freed slots.
-    pub fn freed(&self) -> &Arc<Freed> {
-        &self.freed
+    pub fn slot_signal(&self) -> &Arc<SlotSignal> {
+        &self.slot_signal
     }
 
     /// Takes a slot for `call`, and waits for one if the deadline allows it.
@@ -65,7 +65,7 @@
             return Err(Refusal::new(Cause::TooLate, reason));
         }
         // A new request must not overtake requests that wait.
-        if !self.freed.has_waiters()
+        if !self.slot_signal.has_waiters()
             && let Some(choice) = choose(shared, now)
         {
             return Ok(choice);
@@ -85,9 +85,9 @@
 
     async fn wait(&self, key: QueueKey) -> Result<Choice, Refusal> {
         let (reply, answer) = oneshot::channel();
-        self.freed.add_waiter();
+        self.slot_signal.add_waiter();
         if self.waiters.try_send(Waiter { key, reply }).is_err() {
-            self.freed.remove_waiter();
+            self.slot_signal.remove_waiter();
             return Err(overloaded(MAX_RETRY_AFTER_MS));
         }
         let stopped = |_| Err(overloaded(MAX_RETRY_AFTER_MS));
@@ -100,7 +100,7 @@
     let capacity = shared.settings.gateway.concurrency;
     let mut queue = Queue::new(capacity);
     let mut tick = tokio::time::interval(Duration::from_millis(TICK_MS));
-    let freed = Arc::clone(&shared.admission.freed);
+    let slot_signal = Arc::clone(&shared.admission.slot_signal);
     loop {
         tokio::select! {
             waiter = waiters.recv() => {
@@ -110,7 +110,7 @@
                     refuse(&shared, shed);
                 }
             }
-            () = freed.notified() => {}
+            () = slot_signal.notified() => {}
             _ = tick.tick(), if !queue.is_empty() => {}
         }
         assign_slots(&shared, &mut queue);
@@ -128,7 +128,7 @@
         };
         match queue.pop(now) {
             Some(Ok(waiter)) => {
-                shared.admission.freed.remove_waiter();
+                shared.admission.slot_signal.remove_waiter();
                 // If the caller has disconnected, the choice is dropped, which frees its slot.
                 let _ = waiter.reply.send(Ok(choice));
             }
@@ -140,7 +140,7 @@
 }
 
 fn refuse(shared: &Shared, shed: Shed<Waiter>) {
-    shared.admission.freed.remove_waiter();
+    shared.admission.slot_signal.remove_waiter();
     let (waiter, refusal) = match shed {
         Shed::Late(waiter, wait) => {
             let reason = "no slot comes free in time for the deadline";
--- a/crates/verbenahitch/src/gateway/admission/mod.rs
+++ b/crates/verbenahitch/src/gateway/admission/mod.rs
@@ -6,12 +6,12 @@
 
 mod budget;
 mod control;
-mod freed;
 mod latency;
 mod queue;
+mod slot_signal;
 
 pub use budget::RetryBudget;
 pub(super) use control::{Admission, run_queue};
-pub use freed::Freed;
 pub use latency::Latency;
 pub use queue::{Queue, QueueKey, Shed};
+pub use slot_signal::SlotSignal;
--- a/crates/verbenahitch/src/gateway/admission/freed.rs
+++ b/crates/verbenahitch/src/gateway/admission/slot_signal.rs
@@ -6,12 +6,12 @@
 
 /// Count of waiting requests, and the signal that wakes the task that owns the queue.
 #[derive(Debug, Default)]
-pub struct Freed {
+pub struct SlotSignal {
     waiting: AtomicUsize,
     signal: Notify,
 }
 
-impl Freed {
+impl SlotSignal {
     /// Whether any request waits.
     pub fn has_waiters(&self) -> bool {
         self.waiting.load(Ordering::Acquire) > 0
--- a/crates/verbenahitch/src/gateway/daemon.rs
+++ b/crates/verbenahitch/src/gateway/daemon.rs
@@ -9,9 +9,9 @@
 
 use super::error::GatewayError;
 use super::operators::{self, ApiContext};
-use super::path::{Callers, Deps};
+use super::path::{CallerListener, Deps};
 use crate::adapter::{HostList, Store};
-use crate::config::{self, Current, change};
+use crate::config::{self, CurrentDeclarations, change};
 use crate::domain::Millis;
 use crate::event::{Entry, Kind};
 use crate::http::{Exporter, Listener};
@@ -24,11 +24,11 @@
 
 /// A running gateway.
 pub struct Running {
-    callers: Callers,
+    callers: CallerListener,
     operators: Listener,
     exporter: Exporter,
     handle: Handle,
-    current: Current,
+    current: CurrentDeclarations,
     tasks: Vec<JoinHandle<()>>,
 }
 
@@ -56,7 +56,7 @@
         let clock: Arc<dyn Clock> = Arc::new(SystemClock::default());
         let platform = &settings.platform;
         let store = Store::new(&platform.store.to_string(), platform.timeout_ms);
-        let current = Current::default();
+        let current = CurrentDeclarations::default();
         let handle = start_peers(&settings, &current, &clock)?;
         let list = HostList::new(
             &platform.hosts.to_string(),
@@ -82,7 +82,7 @@
         )?;
         let operators = operators::listen(settings.gateway.operators, Arc::new(context)).await?;
         let exporter = Exporter::start(settings.gateway.metrics).await?;
-        let callers = Callers::start(Deps {
+        let callers = CallerListener::start(Deps {
             settings,
             current: current.clone(),
             hosts,
@@ -122,7 +122,7 @@
     }
 
     /// Declarations in force.
-    pub fn current(&self) -> &Current {
+    pub fn current(&self) -> &CurrentDeclarations {
         &self.current
     }
 
@@ -161,7 +161,7 @@
 /// Starts the peer interface.
 fn start_peers(
     settings: &Settings,
-    current: &Current,
+    current: &CurrentDeclarations,
     clock: &Arc<dyn Clock>,
 ) -> Result<Handle, GatewayError> {
     let identity = Identity {
@@ -178,7 +178,12 @@
 }
 
 /// Reads the declarations from the store while no scheduler is live to send them.
-async fn poll_declarations(store: Store, current: Current, handle: Handle, clock: Arc<dyn Clock>) {
+async fn poll_declarations(
+    store: Store,
+    current: CurrentDeclarations,
+    handle: Handle,
+    clock: Arc<dyn Clock>,
+) {
     let mut ticks = interval(FALLBACK_INTERVAL_MS);
     loop {
         ticks.tick().await;
--- a/crates/verbenahitch/src/gateway/idempotency/claim.rs
+++ b/crates/verbenahitch/src/gateway/idempotency/claim.rs
@@ -1,7 +1,7 @@
 //! Writes and releases claims in the store.
 
 use crate::adapter::Store;
-use crate::port::{Op, StoreError, Txn};
+use crate::port::{Op, StoreError, TxnOutcome};
 
 use super::committer::{Claim, ClaimRequest, ClaimResult};
 use super::record::{self, KeyState, Record};
@@ -26,13 +26,13 @@
             .flat_map(|request| claim_ops(bucket, request))
             .collect();
         match store.transact(&ops).await {
-            Ok(Txn::Committed { index }) => {
+            Ok(TxnOutcome::Committed { index }) => {
                 for request in requests {
                     request.grant(bucket, index);
                 }
                 return;
             }
-            Ok(Txn::Conflict { failed }) => {
+            Ok(TxnOutcome::Conflict { failed }) => {
                 let conflicts = |at: usize| failed.iter().any(|op| op / OPS_PER_CLAIM == at);
                 let mut rest = Vec::with_capacity(requests.len());
                 for (at, request) in requests.into_iter().enumerate() {
@@ -124,10 +124,10 @@
         }
     }
     match store.transact(&ops).await? {
-        Txn::Committed { index } => Ok(Some(ClaimResult::Granted(
+        TxnOutcome::Committed { index } => Ok(Some(ClaimResult::Granted(
             request.claim(bucket, Some(index)),
         ))),
-        Txn::Conflict { .. } => Ok(None),
+        TxnOutcome::Conflict { .. } => Ok(None),
     }
 }
 
--- a/crates/verbenahitch/src/gateway/idempotency/record.rs
+++ b/crates/verbenahitch/src/gateway/idempotency/record.rs
@@ -50,9 +50,9 @@
             return Self::Absent;
         };
         match serde_json::from_slice::<Record>(&entry.value) {
-            Ok(record) if record.released => Self::Released(entry.modify),
-            Ok(record) => Self::Claimed(record.write, entry.modify),
-            Err(_) => Self::Claimed(String::new(), entry.modify),
+            Ok(record) if record.released => Self::Released(entry.modify_index),
+            Ok(record) => Self::Claimed(record.write, entry.modify_index),
+            Err(_) => Self::Claimed(String::new(), entry.modify_index),
         }
     }
 }
--- a/crates/verbenahitch/src/gateway/mod.rs
+++ b/crates/verbenahitch/src/gateway/mod.rs
@@ -1,6 +1,6 @@
 //! The gateway: admits callers' requests and routes them to upstreams.
 //!
-//! [`Callers`] listens for callers. The whole head and body of a request are
+//! [`CallerListener`] listens for callers. The whole head and body of a request are
 //! checked before anything is sent upstream; then the routing table selects an
 //! upstream, and the whole answer is read before the first byte goes to the
 //! caller. A refused request is known not to have run; a request that may have
@@ -16,4 +16,4 @@
 
 pub use daemon::{Running, run};
 pub use error::GatewayError;
-pub use path::{Callers, Deps, Stats};
+pub use path::{CallerListener, Deps, Stats};
--- a/crates/verbenahitch/src/gateway/operators/context.rs
+++ b/crates/verbenahitch/src/gateway/operators/context.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::adapter::Store;
-use crate::config::{Current, token_digest};
+use crate::config::{CurrentDeclarations, token_digest};
 use crate::domain::{Millis, Monotonic};
 use crate::peer::{Handle, Member};
 use crate::port::Clock;
@@ -12,7 +12,7 @@
 /// Dependencies of the interface.
 pub struct ApiContext {
     pub(super) settings: Arc<Settings>,
-    pub(super) current: Current,
+    pub(super) current: CurrentDeclarations,
     pub(super) handle: Handle,
     pub(super) store: Store,
     pub(super) clock: Arc<dyn Clock>,
@@ -27,7 +27,7 @@
     /// When a token file cannot be read or is empty.
     pub fn new(
         settings: Arc<Settings>,
-        current: Current,
+        current: CurrentDeclarations,
         handle: Handle,
         store: Store,
         clock: Arc<dyn Clock>,
--- a/crates/verbenahitch/src/gateway/operators/error.rs
+++ b/crates/verbenahitch/src/gateway/operators/error.rs
@@ -68,7 +68,7 @@
                 .with("declarations", newer),
             ChangeError::UnknownZone { .. } => Self::new(Status::NotFound, &error),
             ChangeError::Unavailable { .. } => Self::unavailable(&error, RETRY_MS),
-            ChangeError::Unclear { .. } => Self::unclear(&error),
+            ChangeError::UnknownOutcome { .. } => Self::unclear(&error),
         }
     }
 }
--- a/crates/verbenahitch/src/gateway/operators/jobs.rs
+++ b/crates/verbenahitch/src/gateway/operators/jobs.rs
@@ -125,7 +125,7 @@
     let owned: Vec<&OwnedShard> = live.flat_map(|member: &Member| &member.shards).collect();
     let in_service = |owned: &&OwnedShard| {
         let zone = owned.shard.rsplit_once('-').map_or("", |(zone, _)| zone);
-        declarations.is_in(zone)
+        declarations.is_in_service(zone)
     };
     let owned: Vec<&OwnedShard> = owned.into_iter().filter(in_service).collect();
     if owned.is_empty() {
--- a/crates/verbenahitch/src/gateway/path/callers.rs
+++ b/crates/verbenahitch/src/gateway/path/callers.rs
@@ -16,7 +16,7 @@
 use tokio::task::JoinHandle;
 
 use crate::adapter::Store;
-use crate::config::Current;
+use crate::config::CurrentDeclarations;
 use crate::domain::Millis;
 use crate::port::{Clock, HostRecord};
 use crate::settings::Settings;
@@ -38,7 +38,7 @@
     /// Settings of the entry host.
     pub settings: Arc<Settings>,
     /// Declarations in force.
-    pub current: Current,
+    pub current: CurrentDeclarations,
     /// Latest list of workers.
     pub hosts: watch::Receiver<Arc<Vec<HostRecord>>>,
     /// Store of claimed idempotency keys.
@@ -57,7 +57,7 @@
 }
 
 /// The running listener for callers.
-pub struct Callers {
+pub struct CallerListener {
     shared: Arc<Shared>,
     address: SocketAddr,
     shutdown: rocket::Shutdown,
@@ -65,7 +65,7 @@
     tasks: Vec<JoinHandle<()>>,
 }
 
-impl Callers {
+impl CallerListener {
     /// Starts to listen on the callers' address of the settings.
     ///
     /// # Errors
--- a/crates/verbenahitch/src/gateway/path/forward.rs
+++ b/crates/verbenahitch/src/gateway/path/forward.rs
@@ -4,7 +4,7 @@
 
 use reqwest::{Client, Method, Response};
 
-use crate::adapter::describe;
+use crate::adapter::error_chain;
 use crate::domain::Millis;
 
 use super::answer::{Answer, UnknownCause};
@@ -93,10 +93,10 @@
     match request.send().await {
         Ok(response) => receive(response, outgoing, limits).await,
         Err(error) if error.is_connect() || error.is_builder() => AttemptResult {
-            outcome: AttemptOutcome::NotSent(describe(&error)),
+            outcome: AttemptOutcome::NotSent(error_chain(&error)),
             leaving: false,
         },
-        Err(error) => unknown(UnknownCause::Broken, &describe(&error)),
+        Err(error) => unknown(UnknownCause::Broken, &error_chain(&error)),
     }
 }
 
@@ -148,7 +148,7 @@
                     "the answer stopped midway".to_owned(),
                 ));
             }
-            Ok(Err(error)) => return Err((UnknownCause::Truncated, describe(&error))),
+            Ok(Err(error)) => return Err((UnknownCause::Truncated, error_chain(&error))),
             Ok(Ok(None)) => return Ok(body),
             Ok(Ok(Some(chunk))) => body.extend_from_slice(&chunk),
         }
--- a/crates/verbenahitch/src/gateway/path/mod.rs
+++ b/crates/verbenahitch/src/gateway/path/mod.rs
@@ -12,6 +12,6 @@
 mod shared;
 
 pub use answer::{Cause, Refusal};
-pub use callers::{Callers, Deps, Stats};
+pub use callers::{CallerListener, Deps, Stats};
 pub use serve::Call;
 pub use shared::Shared;
--- a/crates/verbenahitch/src/gateway/path/serve.rs
+++ b/crates/verbenahitch/src/gateway/path/serve.rs
@@ -22,7 +22,7 @@
 use super::report;
 use super::shared::Shared;
 use crate::gateway::idempotency::{Claim, ClaimResult};
-use crate::gateway::route::{ATTEMPTS, Choice, Slot};
+use crate::gateway::route::{Choice, MAX_ATTEMPTS, Slot};
 
 /// A request that passed all checks.
 #[derive(Clone, Debug)]
@@ -71,7 +71,7 @@
 struct Attempts<'a> {
     shared: &'a Shared,
     call: &'a Call,
-    tried: [u32; ATTEMPTS],
+    tried: [u32; MAX_ATTEMPTS],
     count: usize,
 }
 
@@ -127,7 +127,7 @@
     let mut attempts = Attempts {
         shared,
         call,
-        tried: [0; ATTEMPTS],
+        tried: [0; MAX_ATTEMPTS],
         count: 0,
     };
     let mut running = FuturesUnordered::new();
@@ -190,7 +190,7 @@
     /// connection failed is tried again on a new connection if there is no other.
     fn next(&self, cause: RetryCause) -> Option<Choice> {
         let now = self.shared.now();
-        if self.count >= ATTEMPTS || self.call.deadline <= now {
+        if self.count >= MAX_ATTEMPTS || self.call.deadline <= now {
             return None;
         }
         let random = rand::rng().next_u64();
@@ -250,7 +250,7 @@
         AttemptOutcome::Answered(_) => {
             shared.refusal_budget.earn();
             shared.latency.observe(&call.kind, started.elapsed());
-            upstream.limit.taken(upstream.in_flight());
+            upstream.limit.accepted(upstream.in_flight());
             if upstream.health.succeeded() {
                 report::returned(upstream);
             }
--- a/crates/verbenahitch/src/gateway/path/shared.rs
+++ b/crates/verbenahitch/src/gateway/path/shared.rs
@@ -12,7 +12,7 @@
 
 use crate::gateway::admission::{Admission, Latency, RetryBudget};
 use crate::gateway::idempotency::Idempotency;
-use crate::gateway::route::{Place, Table};
+use crate::gateway::route::{RoutingConfig, Table};
 
 /// Retries after refusals per hundred answers.
 const REFUSAL_RETRY_PERCENT: u32 = 100;
@@ -77,13 +77,13 @@
     }
 
     /// Settings of the routing table.
-    pub fn place(&self) -> Place {
-        Place {
+    pub fn routing_config(&self) -> RoutingConfig {
+        RoutingConfig {
             name: self.settings.name.clone(),
             zone: self.settings.zone.clone(),
             subset: self.settings.gateway.subset,
             silence_ms: self.settings.gateway.silence_ms,
-            freed: Arc::clone(self.admission.freed()),
+            slot_signal: Arc::clone(self.admission.slot_signal()),
         }
     }
 
--- a/crates/verbenahitch/src/gateway/route/limit.rs
+++ b/crates/verbenahitch/src/gateway/route/limit.rs
@@ -40,7 +40,7 @@
     }
 
     /// Records that a request was accepted while `in_flight` were in progress.
-    pub fn taken(&self, in_flight: u32) {
+    pub fn accepted(&self, in_flight: u32) {
         // Only a fully used limit shows that the upstream could take more.
         if in_flight < self.current() {
             return;
--- a/crates/verbenahitch/src/gateway/route/mod.rs
+++ b/crates/verbenahitch/src/gateway/route/mod.rs
@@ -14,5 +14,5 @@
 
 pub use health::Health;
 pub use limit::Limit;
-pub use table::{ATTEMPTS, Choice, Place, Reason, Table};
+pub use table::{Choice, MAX_ATTEMPTS, Reason, RoutingConfig, Table};
 pub use upstream::{Slot, Upstream};
--- a/crates/verbenahitch/src/gateway/route/refresh.rs
+++ b/crates/verbenahitch/src/gateway/route/refresh.rs
@@ -4,7 +4,7 @@
 
 use tokio::sync::watch;
 
-use crate::config::{Current, Declarations};
+use crate::config::{CurrentDeclarations, Declarations};
 use crate::port::HostRecord;
 
 use crate::gateway::path::Shared;
@@ -15,7 +15,7 @@
     let next = shared
         .table
         .load()
-        .next(&shared.place(), hosts, declarations);
+        .next(&shared.routing_config(), hosts, declarations);
     shared.table.store(Arc::new(next));
 }
 
@@ -23,7 +23,7 @@
 pub async fn follow(
     shared: Arc<Shared>,
     mut hosts: watch::Receiver<Arc<Vec<HostRecord>>>,
-    current: Current,
+    current: CurrentDeclarations,
 ) {
     let mut revision = current.subscribe();
     loop {
--- a/crates/verbenahitch/src/gateway/route/subset.rs
+++ b/crates/verbenahitch/src/gateway/route/subset.rs
@@ -10,26 +10,26 @@
 
 use crate::port::HostRecord;
 
-use super::table::Place;
+use super::table::RoutingConfig;
 
 /// Share of the subset reserved for upstreams of other zones, if there are any, in percent.
 const FAR_PERCENT: usize = 25;
 
-/// Chooses the subset of `hosts` for the gateway at `place`.
+/// Chooses the subset of `hosts` for the gateway at `config`.
 pub fn choose<'a>(
-    place: &Place,
+    config: &RoutingConfig,
     hosts: impl Iterator<Item = &'a HostRecord>,
 ) -> Vec<&'a HostRecord> {
-    let (mut near, mut far): (Vec<_>, Vec<_>) = hosts.partition(|host| host.zone == place.zone);
-    let reserved = far.len().min(place.subset * FAR_PERCENT / 100);
-    keep(&mut near, place, place.subset.saturating_sub(reserved));
-    keep(&mut far, place, place.subset.saturating_sub(near.len()));
+    let (mut near, mut far): (Vec<_>, Vec<_>) = hosts.partition(|host| host.zone == config.zone);
+    let reserved = far.len().min(config.subset * FAR_PERCENT / 100);
+    keep(&mut near, config, config.subset.saturating_sub(reserved));
+    keep(&mut far, config, config.subset.saturating_sub(near.len()));
     near.append(&mut far);
     near
 }
 
-fn keep(hosts: &mut Vec<&HostRecord>, place: &Place, count: usize) {
-    hosts.sort_by_cached_key(|host| (weight(&place.name, &host.name), host.name.clone()));
+fn keep(hosts: &mut Vec<&HostRecord>, config: &RoutingConfig, count: usize) {
+    hosts.sort_by_cached_key(|host| (weight(&config.name, &host.name), host.name.clone()));
     hosts.truncate(count);
 }
 
--- a/crates/verbenahitch/src/gateway/route/table.rs
+++ b/crates/verbenahitch/src/gateway/route/table.rs
@@ -9,21 +9,21 @@
 use crate::collections::HashMap;
 use crate::config::Declarations;
 use crate::domain::Monotonic;
-use crate::gateway::admission::Freed;
+use crate::gateway::admission::SlotSignal;
 use crate::port::{HostRecord, HostState};
 
 use super::subset;
 use super::upstream::{Slot, Upstream};
 
 /// Most attempts of one request.
-pub const ATTEMPTS: usize = 3;
+pub const MAX_ATTEMPTS: usize = 3;
 
 /// Least share of a table's upstreams that stay in use when others are ejected, in percent.
 const MIN_HEALTHY_PERCENT: usize = 70;
 
 /// Settings of one gateway's routing table.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct RoutingConfig {
     /// Name of the gateway.
     pub name: String,
     /// Availability zone of the gateway.
@@ -33,7 +33,7 @@
     /// Longest time without progress on an upstream's connection, in milliseconds.
     pub silence_ms: u64,
     /// Signal that a slot was freed.
-    pub freed: Arc<Freed>,
+    pub slot_signal: Arc<SlotSignal>,
 }
 
 /// Routing table.
@@ -88,7 +88,7 @@
     /// Builds the table that replaces `self`; upstreams in both keep their state.
     pub fn next(
         &self,
-        place: &Place,
+        config: &RoutingConfig,
         hosts: &[HostRecord],
         declarations: Arc<Declarations>,
     ) -> Self {
@@ -96,9 +96,10 @@
             .upstreams()
             .map(|upstream| (upstream.name.as_str(), upstream))
             .collect();
-        let live =
-            |host: &&HostRecord| host.state == HostState::Live && declarations.is_in(&host.zone);
-        let chosen = subset::choose(place, hosts.iter().filter(live));
+        let live = |host: &&HostRecord| {
+            host.state == HostState::Live && declarations.is_in_service(&host.zone)
+        };
+        let chosen = subset::choose(config, hosts.iter().filter(live));
         let mut next = Self {
             next_id: self.next_id,
             ..Self::default()
@@ -109,10 +110,10 @@
                 Some(known) => Arc::clone(known),
                 None => {
                     next.next_id += 1;
-                    Arc::new(Upstream::new(next.next_id, host, place))
+                    Arc::new(Upstream::new(next.next_id, host, config))
                 }
             };
-            match host.zone == place.zone {
+            match host.zone == config.zone {
                 true => next.near.push(upstream),
                 false => next.far.push(upstream),
             }
--- a/crates/verbenahitch/src/gateway/route/upstream.rs
+++ b/crates/verbenahitch/src/gateway/route/upstream.rs
@@ -10,12 +10,12 @@
 use reqwest::redirect::Policy;
 
 use crate::domain::{Millis, Monotonic};
-use crate::gateway::admission::Freed;
+use crate::gateway::admission::SlotSignal;
 use crate::port::HostRecord;
 
 use super::health::Health;
 use super::limit::Limit;
-use super::table::Place;
+use super::table::RoutingConfig;
 
 /// Time after which an idle connection is closed, in milliseconds.
 const IDLE_TIMEOUT_MS: Millis = 10_000;
@@ -40,12 +40,12 @@
     closed: AtomicBool,
     client: ArcSwap<Client>,
     silence_ms: Millis,
-    freed: Arc<Freed>,
+    slot_signal: Arc<SlotSignal>,
 }
 
 impl Upstream {
     /// Creates the state of a newly listed upstream.
-    pub fn new(id: u32, record: &HostRecord, place: &Place) -> Self {
+    pub fn new(id: u32, record: &HostRecord, config: &RoutingConfig) -> Self {
         Self {
             id,
             name: record.name.clone(),
@@ -55,9 +55,9 @@
             in_flight: AtomicU32::new(0),
             leaving: AtomicBool::new(false),
             closed: AtomicBool::new(false),
-            client: ArcSwap::from_pointee(build_client(place.silence_ms)),
-            silence_ms: place.silence_ms,
-            freed: Arc::clone(&place.freed),
+            client: ArcSwap::from_pointee(build_client(config.silence_ms)),
+            silence_ms: config.silence_ms,
+            slot_signal: Arc::clone(&config.slot_signal),
         }
     }
 
@@ -161,7 +161,7 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         self.upstream.in_flight.fetch_sub(1, Ordering::Relaxed);
-        self.upstream.freed.notify();
+        self.upstream.slot_signal.notify();
     }
 }
 
--- a/crates/verbenahitch/src/interference/relief.rs
+++ b/crates/verbenahitch/src/interference/mitigation.rs
@@ -47,7 +47,7 @@
 
 /// An action against interference, for the caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Relief {
+pub enum Mitigation {
     /// Change the CPU share of a task.
     Throttle {
         /// Worker.
--- a/crates/verbenahitch/src/membership/choice.rs
+++ b/crates/verbenahitch/src/membership/choice.rs
@@ -23,7 +23,7 @@
 
 /// Whether a scheduler should try to acquire a shard that has no known owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Choice {
+pub enum AcquireDecision {
     /// Try now: it is the preferred owner.
     Now,
     /// Others are preferred; try if the shard still has no owner after this time.
@@ -32,8 +32,8 @@
     No,
 }
 
-impl Choice {
-    /// Choice of the scheduler `own_name` among `members` (itself included), of
+impl AcquireDecision {
+    /// Decision of the scheduler `own_name` among `members` (itself included), of
     /// which those heard within `timeout_ms` are live.
     pub fn of(shard: &ShardId, own_name: &str, members: &[Member], timeout_ms: Millis) -> Self {
         let live = |member: &&Member| member.is_live(timeout_ms) && !member.leaving;
@@ -80,7 +80,7 @@
 /// A shard of another zone is released as soon as that zone has a scheduler. A
 /// shard of the own zone is released only if another scheduler of the zone owns
 /// at least two fewer, so that a restart does not move shards back and forth.
-pub fn surplus(own_name: &str, members: &[Member], timeout_ms: Millis) -> Option<String> {
+pub fn shard_to_release(own_name: &str, members: &[Member], timeout_ms: Millis) -> Option<String> {
     let eligible = |member: &&Member| {
         member.role == Role::Scheduler
             && member.is_live(timeout_ms)
--- a/crates/verbenahitch/src/membership/member.rs
+++ b/crates/verbenahitch/src/membership/member.rs
@@ -80,7 +80,7 @@
 
 /// Report of a process on its contact with the store, with bounds on when it was made.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Testimony {
+pub struct StoreReport {
     /// Name of the process.
     pub name: String,
     /// Availability zone of the process.
@@ -90,7 +90,7 @@
     /// Latest time at which the process may have been heard; its true age can be higher.
     pub heard: Monotonic,
     /// Time after which the report was certainly made; `None` if unknown.
-    pub proven: Option<Monotonic>,
+    pub made_after: Option<Monotonic>,
     /// Milliseconds since the store last answered it, when it reported; `None` for never.
     pub store_age_ms: Option<Millis>,
 }
@@ -115,7 +115,7 @@
     }
 
     /// Beat of the record, for relaying.
-    pub fn pulse(&self) -> Beat {
+    pub fn to_beat(&self) -> Beat {
         Beat {
             id: self.id(),
             revision: self.revision,
--- a/crates/verbenahitch/src/membership/table.rs
+++ b/crates/verbenahitch/src/membership/table.rs
@@ -10,7 +10,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{Beat, Member, Role, Testimony};
+use super::{Beat, Member, Role, StoreReport};
 use crate::collections::HashMap;
 use crate::domain::{Millis, Monotonic};
 
@@ -38,7 +38,7 @@
 
 /// Result of merging a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Learnt {
+pub enum MergeOutcome {
     /// Nothing new.
     Nothing,
     /// A later record of a live process.
@@ -46,7 +46,7 @@
     /// A process that was unknown, has restarted, or had timed out.
     Arrived,
     /// A record under this process's own name.
-    Myself,
+    OwnName,
 }
 
 impl Table {
@@ -62,13 +62,13 @@
     }
 
     /// Merges a record from an answer to a request that was sent at `sent`.
-    pub fn learn(&mut self, record: Member, sent: Monotonic) -> Learnt {
+    pub fn merge_record(&mut self, record: Member, sent: Monotonic) -> MergeOutcome {
         let made_after = sent - record.age_ms;
         let Some(known) = self.current_entry(&record) else {
             return self.insert(record, made_after, Some(made_after));
         };
         if record.version() < known.record.version() {
-            return Learnt::Nothing;
+            return MergeOutcome::Nothing;
         }
         let later = known.advance(record.beat, made_after);
         if later {
@@ -78,14 +78,14 @@
     }
 
     /// Merges a beat from an answer to a request that was sent at `sent`.
-    pub fn beat(&mut self, beat: Beat, sent: Monotonic) -> Learnt {
+    pub fn merge_beat(&mut self, beat: Beat, sent: Monotonic) -> MergeOutcome {
         let made_after = sent - beat.age_ms;
         let known = self.ids.get(&beat.id);
         let Some(known) = known.and_then(|key| self.known.get_mut(key)) else {
-            return Learnt::Nothing;
+            return MergeOutcome::Nothing;
         };
         if beat.beat < known.record.beat {
-            return Learnt::Nothing;
+            return MergeOutcome::Nothing;
         }
         let later = known.advance(beat.beat, made_after);
         let record = &mut known.record;
@@ -97,12 +97,12 @@
     }
 
     /// Merges a greeting that arrived at `now`.
-    pub fn greeted(&mut self, record: Member, now: Monotonic) -> Learnt {
+    pub fn merge_greeting(&mut self, record: Member, now: Monotonic) -> MergeOutcome {
         let Some(known) = self.current_entry(&record) else {
             return self.insert(record, now, None);
         };
         if record.incarnation < known.record.incarnation {
-            return Learnt::Nothing;
+            return MergeOutcome::Nothing;
         }
         known.heard = known.heard.max(now);
         known.record.leaving |= record.leaving;
@@ -131,7 +131,7 @@
     }
 
     /// Records to relay to peers, with their ages.
-    pub fn relayed(&self, now: Monotonic) -> Vec<Member> {
+    pub fn relay_records(&self, now: Monotonic) -> Vec<Member> {
         let known = self.known.values();
         let answered = known.filter_map(|known| Some((known, known.made_after?)));
         let records = answered.map(|(known, made_after)| Member {
@@ -155,16 +155,16 @@
     }
 
     /// Reports of the processes on their contact with the store.
-    pub fn testimonies(&self) -> Vec<Testimony> {
-        let testimonies = self.known.values().map(|known| Testimony {
+    pub fn store_reports(&self) -> Vec<StoreReport> {
+        let reports = self.known.values().map(|known| StoreReport {
             name: known.record.name.clone(),
             zone: known.record.zone.clone(),
             revision: known.record.revision,
             heard: known.heard,
-            proven: known.made_after,
+            made_after: known.made_after,
             store_age_ms: known.record.store_age_ms,
         });
-        testimonies.collect()
+        reports.collect()
     }
 
     /// Entry of the same incarnation, or of a later one that supersedes the record.
@@ -179,10 +179,10 @@
         record: Member,
         heard: Monotonic,
         made_after: Option<Monotonic>,
-    ) -> Learnt {
+    ) -> MergeOutcome {
         let key = (record.name.clone(), record.role);
         if key == self.own_key {
-            return Learnt::Myself;
+            return MergeOutcome::OwnName;
         }
         self.ids.insert(record.id(), key.clone());
         let known = PeerEntry {
@@ -194,7 +194,7 @@
         if let Some(old) = self.known.insert(key, known) {
             self.ids.remove(&old.record.id());
         }
-        Learnt::Arrived
+        MergeOutcome::Arrived
     }
 }
 
@@ -213,15 +213,15 @@
     }
 
     /// Marks the process as live if its record is a later one.
-    fn mark_live(&mut self, later: bool) -> Learnt {
+    fn mark_live(&mut self, later: bool) -> MergeOutcome {
         if !later {
-            return Learnt::Nothing;
+            return MergeOutcome::Nothing;
         }
         if self.live {
-            return Learnt::Newer;
+            return MergeOutcome::Newer;
         }
         self.live = true;
-        Learnt::Arrived
+        MergeOutcome::Arrived
     }
 
     fn as_of(&self, now: Monotonic) -> Member {
--- a/crates/verbenahitch/src/peer/handle.rs
+++ b/crates/verbenahitch/src/peer/handle.rs
@@ -7,7 +7,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::local::unavailable;
-use super::shared::{Evidence, Shared};
+use super::shared::{Shared, StoreReports};
 use crate::adapter::Store;
 use crate::domain::{Millis, Monotonic};
 use crate::membership::{Member, OwnedShard};
@@ -74,9 +74,9 @@
     }
 
     /// Reports of the other processes on their contact with the store.
-    pub fn evidence(&self) -> Evidence {
-        Evidence {
-            testimonies: self.shared.testimonies.load_full(),
+    pub fn store_reports(&self) -> StoreReports {
+        StoreReports {
+            reports: self.shared.store_reports.load_full(),
         }
     }
 
--- a/crates/verbenahitch/src/peer/local.rs
+++ b/crates/verbenahitch/src/peer/local.rs
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::sync::mpsc;
 
-use super::Incoming;
+use super::IncomingRequest;
 use super::error::CallError;
 use super::link::{Connection, Link};
 use super::shared::Shared;
@@ -18,7 +18,7 @@
 use crate::config;
 use crate::domain::{Millis, Monotonic};
 use crate::event::{Entry, Kind};
-use crate::membership::{Learnt, Member, Table};
+use crate::membership::{Member, MergeOutcome, Table};
 use crate::peer_capnp::node;
 use crate::scheduler::{Answer, Request, SubmitError};
 
@@ -42,7 +42,7 @@
     pub(super) shared: Arc<Shared>,
     pub(super) table: RefCell<Table>,
     pub(super) rng: RefCell<ChaCha8Rng>,
-    pub(super) incoming: mpsc::Sender<Incoming>,
+    pub(super) incoming: mpsc::Sender<IncomingRequest>,
     pub(super) heartbeat_ms: Millis,
     pub(super) timeout_ms: Millis,
     links: RefCell<HashMap<SocketAddr, Rc<Link>>>,
@@ -53,7 +53,7 @@
         shared: Arc<Shared>,
         table: Table,
         rng: ChaCha8Rng,
-        incoming: mpsc::Sender<Incoming>,
+        incoming: mpsc::Sender<IncomingRequest>,
         heartbeat_ms: Millis,
         timeout_ms: Millis,
     ) -> Self {
@@ -162,8 +162,8 @@
             self.merge(member, sent);
         }
         for beat in beats {
-            let learnt = self.table.borrow_mut().beat(beat, sent);
-            if learnt == Learnt::Arrived {
+            let outcome = self.table.borrow_mut().merge_beat(beat, sent);
+            if outcome == MergeOutcome::Arrived {
                 log::debug!("a lost process is live again, by a beat relayed from {address}");
             }
         }
@@ -174,22 +174,22 @@
     }
 
     fn merge(&self, member: Member, sent: Monotonic) {
-        let learnt = self.table.borrow_mut().learn(member.clone(), sent);
-        self.handle_learnt(learnt, &member);
+        let outcome = self.table.borrow_mut().merge_record(member.clone(), sent);
+        self.handle_merge(outcome, &member);
     }
 
     /// Logs an arrival; raises the own incarnation above that of an earlier process
     /// of the same name.
-    pub(super) fn handle_learnt(&self, learnt: Learnt, member: &Member) {
-        match learnt {
-            Learnt::Nothing | Learnt::Newer => {}
-            Learnt::Arrived => Entry::new(Kind::PeerHeard)
+    pub(super) fn handle_merge(&self, outcome: MergeOutcome, member: &Member) {
+        match outcome {
+            MergeOutcome::Nothing | MergeOutcome::Newer => {}
+            MergeOutcome::Arrived => Entry::new(Kind::PeerHeard)
                 .with("peer", &member.name)
                 .with("role", member.role)
                 .with("zone", &member.zone)
                 .with("address", member.address)
                 .emit(),
-            Learnt::Myself => {
+            MergeOutcome::OwnName => {
                 if member.incarnation > self.shared.incarnation() {
                     self.shared.raise_incarnation(member.incarnation);
                 }
@@ -203,7 +203,9 @@
         let mut members = table.members(self.shared.now());
         members.push(self.shared.record());
         self.shared.members.store(Arc::new(members));
-        self.shared.testimonies.store(Arc::new(table.testimonies()));
+        self.shared
+            .store_reports
+            .store(Arc::new(table.store_reports()));
     }
 
     /// Fetches newer declarations from the process at `address`.
--- a/crates/verbenahitch/src/peer/mod.rs
+++ b/crates/verbenahitch/src/peer/mod.rs
@@ -19,9 +19,9 @@
 mod shared;
 mod wire;
 
-pub use crate::membership::{Member, OwnedShard, Role, Testimony};
+pub use crate::membership::{Member, OwnedShard, Role, StoreReport};
 pub use error::PeerError;
 pub use handle::Handle;
 pub(crate) use link::network;
-pub use node::{Identity, Incoming, Node};
-pub use shared::Evidence;
+pub use node::{Identity, IncomingRequest, Node};
+pub use shared::StoreReports;
--- a/crates/verbenahitch/src/peer/node.rs
+++ b/crates/verbenahitch/src/peer/node.rs
@@ -18,7 +18,7 @@
 use super::local::Local;
 use super::server;
 use super::shared::Shared;
-use crate::config::Current;
+use crate::config::CurrentDeclarations;
 use crate::domain::Millis;
 use crate::event::{Entry, Kind};
 use crate::membership::{Member, Role, Table};
@@ -64,7 +64,7 @@
 
 /// A request to the owner of a shard.
 #[derive(Debug)]
-pub struct Incoming {
+pub struct IncomingRequest {
     /// Shard, as `zone-index`.
     pub shard: String,
     /// Request.
@@ -92,13 +92,13 @@
         identity: Identity,
         settings: &PeerSettings,
         token: String,
-        current: Current,
+        current: CurrentDeclarations,
         clock: Arc<dyn Clock>,
-    ) -> Result<(Handle, mpsc::Receiver<Incoming>), PeerError> {
+    ) -> Result<(Handle, mpsc::Receiver<IncomingRequest>), PeerError> {
         let address = identity.listen;
         let listener = TcpListener::bind(address).context(ListenSnafu { address })?;
         let address = listener.local_addr().context(ListenSnafu { address })?;
-        Self::start_behind(address, listener, identity, settings, token, current, clock)
+        Self::start_on_listener(address, listener, identity, settings, token, current, clock)
     }
 
     /// Starts the peer interface on `listener`, which peers reach at `address`.
@@ -106,15 +106,15 @@
     /// # Errors
     ///
     /// When the listener cannot be used, or the thread cannot be started.
-    pub fn start_behind(
+    pub fn start_on_listener(
         address: SocketAddr,
         listener: TcpListener,
         identity: Identity,
         settings: &PeerSettings,
         token: String,
-        current: Current,
+        current: CurrentDeclarations,
         clock: Arc<dyn Clock>,
-    ) -> Result<(Handle, mpsc::Receiver<Incoming>), PeerError> {
+    ) -> Result<(Handle, mpsc::Receiver<IncomingRequest>), PeerError> {
         listener
             .set_nonblocking(true)
             .context(ListenSnafu { address })?;
@@ -144,7 +144,11 @@
 }
 
 impl Runner {
-    fn new(shared: Arc<Shared>, incoming: mpsc::Sender<Incoming>, settings: &PeerSettings) -> Self {
+    fn new(
+        shared: Arc<Shared>,
+        incoming: mpsc::Sender<IncomingRequest>,
+        settings: &PeerSettings,
+    ) -> Self {
         let identity = &shared.identity;
         let table = Table::new(&identity.name, identity.role, settings.timeout_ms);
         let seed = identity.incarnation ^ u64::from(shared.address.port());
--- a/crates/verbenahitch/src/peer/server.rs
+++ b/crates/verbenahitch/src/peer/server.rs
@@ -13,14 +13,14 @@
 use tokio::net::TcpStream;
 use tokio::sync::oneshot;
 
-use super::Incoming;
+use super::IncomingRequest;
 use super::link::network;
 use super::local::{ASK_TIMEOUT_MS, Local, unavailable};
 use super::wire;
 use crate::config;
 use crate::domain::Millis;
 use crate::event::{Entry, Kind};
-use crate::membership::{Learnt, Member};
+use crate::membership::{Member, MergeOutcome};
 use crate::peer_capnp::{login, node};
 use crate::scheduler::Answer;
 
@@ -111,9 +111,13 @@
     /// Merges a greeting, and greets a process that is new or live again.
     fn handle_greeting(&self, member: &Member) {
         let now = self.local.shared.now();
-        let learnt = self.local.table.borrow_mut().greeted(member.clone(), now);
-        self.local.handle_learnt(learnt, member);
-        if learnt == Learnt::Arrived {
+        let outcome = self
+            .local
+            .table
+            .borrow_mut()
+            .merge_greeting(member.clone(), now);
+        self.local.handle_merge(outcome, member);
+        if outcome == MergeOutcome::Arrived {
             self.local.publish();
             let local = Rc::clone(&self.local);
             tokio::task::spawn_local(local.greet(member.address));
@@ -145,8 +149,8 @@
         let shared = &self.local.shared;
         let now = shared.now();
         let mut results = results.get();
-        let records = self.local.table.borrow().relayed(now);
-        let beats: Vec<_> = records.iter().map(Member::pulse).collect();
+        let records = self.local.table.borrow().relay_records(now);
+        let beats: Vec<_> = records.iter().map(Member::to_beat).collect();
         let chosen = self.records_to_relay(&records, &from);
         wire::write_member(&shared.record(), results.reborrow().init_self());
         let mut known = results.reborrow().init_known(list_length(chosen.len()));
@@ -208,7 +212,7 @@
         let shard = params.get_shard()?.to_string()?;
         let request = wire::read_request(params.get_request()?)?;
         let (reply, answer) = oneshot::channel();
-        let incoming = Incoming {
+        let incoming = IncomingRequest {
             shard,
             request,
             reply,
--- a/crates/verbenahitch/src/peer/shared.rs
+++ b/crates/verbenahitch/src/peer/shared.rs
@@ -8,16 +8,16 @@
 
 use super::Identity;
 use crate::adapter::Store;
-use crate::config::Current;
+use crate::config::CurrentDeclarations;
 use crate::domain::Monotonic;
-use crate::membership::{Member, OwnedShard, Testimony};
+use crate::membership::{Member, OwnedShard, StoreReport};
 use crate::port::Clock;
 
 /// Reports of the other processes on their contact with the store.
 #[derive(Clone, Debug, Default)]
-pub struct Evidence {
+pub struct StoreReports {
     /// Newest report of each known process except this one.
-    pub testimonies: Arc<Vec<Testimony>>,
+    pub reports: Arc<Vec<StoreReport>>,
 }
 
 pub(super) struct Shared {
@@ -25,9 +25,9 @@
     pub(super) address: SocketAddr,
     pub(super) token: String,
     pub(super) clock: Arc<dyn Clock>,
-    pub(super) current: Current,
+    pub(super) current: CurrentDeclarations,
     pub(super) members: ArcSwap<Vec<Member>>,
-    pub(super) testimonies: ArcSwap<Vec<Testimony>>,
+    pub(super) store_reports: ArcSwap<Vec<StoreReport>>,
     pub(super) shards: ArcSwap<Vec<OwnedShard>>,
     pub(super) store: ArcSwapOption<Store>,
     pub(super) leaving: AtomicBool,
@@ -43,7 +43,7 @@
         identity: Identity,
         address: SocketAddr,
         token: String,
-        current: Current,
+        current: CurrentDeclarations,
         clock: Arc<dyn Clock>,
     ) -> Self {
         Self {
@@ -54,7 +54,7 @@
             clock,
             current,
             members: ArcSwap::default(),
-            testimonies: ArcSwap::default(),
+            store_reports: ArcSwap::default(),
             shards: ArcSwap::default(),
             store: ArcSwapOption::empty(),
             leaving: AtomicBool::new(false),
--- a/crates/verbenahitch/src/placement/choice.rs
+++ b/crates/verbenahitch/src/placement/choice.rs
@@ -19,7 +19,7 @@
 
 /// A task to be placed.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct PlacementRequest {
     /// Task.
     pub task: TaskKey,
     /// Name of its profile.
@@ -67,12 +67,12 @@
         worker: WorkerKey,
         /// Tasks to evict, the lowest worth first; empty if the tasks that are
         /// already stopping leave enough room.
-        victims: Vec<TaskKey>,
+        evicted: Vec<TaskKey>,
     },
     /// Keep the task waiting.
     Wait(Reason),
     /// No worker could ever run the task, with the reason as text.
-    Never(String),
+    Infeasible(String),
 }
 
 /// Reason for a decision.
--- a/crates/verbenahitch/src/placement/choose.rs
+++ b/crates/verbenahitch/src/placement/choose.rs
@@ -8,12 +8,12 @@
 use crate::domain::{Class, Monotonic, Resources, WorkerKey};
 use crate::interference::ProfileId;
 
+use super::eviction::{self, EvictionPlan};
 use super::host::Host;
 use super::index::rotation_start;
 use super::placer::Placer;
 use super::score::{Score, Scorer};
-use super::victim::{self, EvictionPlan};
-use super::{Ask, Choice, Reason};
+use super::{Choice, PlacementRequest, Reason};
 
 const TIGHT_CANDIDATES: usize = 4;
 const RANDOM_CANDIDATES: usize = 8;
@@ -25,33 +25,43 @@
 
 impl Placer {
     /// Chooses a worker for the task's declared resources, without changing any state.
-    pub fn choose(&self, ask: &Ask, now: Monotonic) -> Choice {
-        self.choose_sized(ask, ask.profile.resources, now)
+    pub fn choose(&self, request: &PlacementRequest, now: Monotonic) -> Choice {
+        self.choose_sized(request, request.profile.resources, now)
     }
 
     /// Chooses a worker that can commit `need` to the task, without changing any state.
-    pub fn choose_sized(&self, ask: &Ask, need: Resources, now: Monotonic) -> Choice {
-        if let Some(choice) = self.choose_reserved(ask, need, now) {
+    pub fn choose_sized(
+        &self,
+        request: &PlacementRequest,
+        need: Resources,
+        now: Monotonic,
+    ) -> Choice {
+        if let Some(choice) = self.choose_reserved(request, need, now) {
             return choice;
         }
-        if let Some(reason) = self.infeasible_reason(ask, need) {
-            return Choice::Never(reason);
+        if let Some(reason) = self.infeasible_reason(request, need) {
+            return Choice::Infeasible(reason);
         }
-        if !self.quotas.admits(&ask.profile.team, need) {
+        if !self.quotas.admits(&request.profile.team, need) {
             return Choice::Wait(Reason::Quota);
         }
-        if let Some(worker) = self.probe_worker(ask, need, now) {
+        if let Some(worker) = self.probe_worker(request, need, now) {
             return Choice::Place {
                 worker,
                 runner_up: None,
                 reason: Reason::Probe,
             };
         }
-        self.choose_best(ask, need, now)
+        self.choose_best(request, need, now)
     }
 
-    fn choose_reserved(&self, ask: &Ask, need: Resources, now: Monotonic) -> Option<Choice> {
-        let reservation = self.reservations.get(&ask.task)?;
+    fn choose_reserved(
+        &self,
+        request: &PlacementRequest,
+        need: Resources,
+        now: Monotonic,
+    ) -> Option<Choice> {
+        let reservation = self.reservations.get(&request.task)?;
         let host = self.hosts.get(reservation.worker)?;
         if reservation.until <= now || host.position.is_none() {
             return None;
@@ -67,8 +77,8 @@
     }
 
     /// Reason why no worker could ever run the task, if there is one.
-    fn infeasible_reason(&self, ask: &Ask, need: Resources) -> Option<String> {
-        let team = &ask.profile.team;
+    fn infeasible_reason(&self, request: &PlacementRequest, need: Resources) -> Option<String> {
+        let team = &request.profile.team;
         if let Some(quota) = self.quotas.total(team)
             && !need.fits(quota)
         {
@@ -96,8 +106,13 @@
     }
 
     /// Quarantined worker that this task may probe.
-    fn probe_worker(&self, ask: &Ask, need: Resources, now: Monotonic) -> Option<WorkerKey> {
-        let profile = &ask.profile;
+    fn probe_worker(
+        &self,
+        request: &PlacementRequest,
+        need: Resources,
+        now: Monotonic,
+    ) -> Option<WorkerKey> {
+        let profile = &request.profile;
         if profile.class != Class::Batch || profile.urgent || !profile.idempotent {
             return None;
         }
@@ -105,11 +120,11 @@
             let host = &self.hosts[*worker];
             host.may_probe(now) && need.fits(host.room())
         });
-        usable.filter(|worker| ask.avoid != Some(*worker))
+        usable.filter(|worker| request.avoid != Some(*worker))
     }
 
-    fn choose_best(&self, ask: &Ask, need: Resources, now: Monotonic) -> Choice {
-        let mut search = Search::new(self, ask, need, now);
+    fn choose_best(&self, request: &PlacementRequest, need: Resources, now: Monotonic) -> Choice {
+        let mut search = Search::new(self, request, need, now);
         search.sample();
         if search.best.is_none() {
             search.scan();
@@ -128,10 +143,10 @@
         if search.pressure_refused {
             return Choice::Wait(Reason::TooMuchPressure);
         }
-        match self.plan_eviction(ask, need, now) {
+        match self.plan_eviction(request, need, now) {
             Some((worker, plan)) => Choice::Evict {
                 worker,
-                victims: plan.tasks,
+                evicted: plan.tasks,
             },
             None => Choice::Wait(Reason::NoRoom),
         }
@@ -140,23 +155,24 @@
     /// Worker on which evicting for the task costs the least worth.
     fn plan_eviction(
         &self,
-        ask: &Ask,
+        request: &PlacementRequest,
         need: Resources,
         now: Monotonic,
     ) -> Option<(WorkerKey, EvictionPlan)> {
-        if !ask.profile.urgent && ask.profile.class == Class::Batch {
+        if !request.profile.urgent && request.profile.class == Class::Batch {
             return None;
         }
         // The order must not depend on time, so that repeated calls for a task
         // choose the same worker until its room is free.
         let workers = self
             .index
-            .ascending(Resources::ZERO, self.pseudo_random(ask, 0));
+            .ascending(Resources::ZERO, self.pseudo_random(request, 0));
         let mut best: Option<(WorkerKey, EvictionPlan)> = None;
         let mut found = 0;
         for worker in workers {
             let host = &self.hosts[worker];
-            let Some(next) = victim::cheapest(host, &ask.profile, need, &self.budgets, now) else {
+            let Some(next) = eviction::cheapest(host, &request.profile, need, &self.budgets, now)
+            else {
                 continue;
             };
             found += 1;
@@ -171,16 +187,16 @@
     }
 
     /// Pseudo-random number determined by the seed, the task and `salt`.
-    fn pseudo_random(&self, ask: &Ask, salt: u64) -> u64 {
+    fn pseudo_random(&self, request: &PlacementRequest, salt: u64) -> u64 {
         use std::hash::{BuildHasher, BuildHasherDefault};
         let build = BuildHasherDefault::<rustc_hash::FxHasher>::default();
-        splitmix64(build.hash_one((self.seed, ask.task, salt)))
+        splitmix64(build.hash_one((self.seed, request.task, salt)))
     }
 }
 
 struct Search<'a> {
     placer: &'a Placer,
-    ask: &'a Ask,
+    request: &'a PlacementRequest,
     need: Resources,
     scorer: Scorer<'a>,
     profile: Option<ProfileId>,
@@ -195,26 +211,31 @@
 }
 
 impl<'a> Search<'a> {
-    fn new(placer: &'a Placer, ask: &'a Ask, need: Resources, now: Monotonic) -> Self {
+    fn new(
+        placer: &'a Placer,
+        request: &'a PlacementRequest,
+        need: Resources,
+        now: Monotonic,
+    ) -> Self {
         Self {
             placer,
-            ask,
+            request,
             need,
             scorer: Scorer {
                 estimator: &placer.estimator,
                 profiles: &placer.profiles,
                 racks: &placer.racks,
                 running: &placer.running,
-                overdue: is_overdue(placer, ask, now),
+                overdue: is_overdue(placer, request, now),
                 now,
             },
-            profile: placer.profiles.id(&ask.name),
-            limit: pressure_limit(ask),
+            profile: placer.profiles.id(&request.name),
+            limit: pressure_limit(request),
             best: None,
             second: None,
             highest: 0.0,
             pressure_refused: false,
-            random: placer.pseudo_random(ask, now.0),
+            random: placer.pseudo_random(request, now.0),
         }
     }
 
@@ -255,7 +276,7 @@
                 break;
             }
         }
-        if let (None, Some(avoid)) = (self.best, self.ask.avoid) {
+        if let (None, Some(avoid)) = (self.best, self.request.avoid) {
             self.evaluate_avoided(avoid);
         }
     }
@@ -263,7 +284,7 @@
     /// Scores a worker if it has room and is not to be avoided; returns whether it did.
     fn evaluate(&mut self, worker: WorkerKey) -> bool {
         let host = &self.placer.hosts[worker];
-        if !self.need.fits(host.room()) || self.ask.avoid == Some(worker) {
+        if !self.need.fits(host.room()) || self.request.avoid == Some(worker) {
             return false;
         }
         self.score_worker(worker, host);
@@ -279,7 +300,9 @@
     }
 
     fn score_worker(&mut self, worker: WorkerKey, host: &Host) {
-        let score = self.scorer.score(host, self.ask, self.profile, self.need);
+        let score = self
+            .scorer
+            .score(host, self.request, self.profile, self.need);
         self.highest = self.highest.max(score.pressure);
         if score.throttled_pressure > self.limit {
             self.pressure_refused = true;
@@ -305,8 +328,8 @@
 ///
 /// Urgent and latency-critical tasks are never held back for pressure; batch tasks
 /// on their worker are throttled instead.
-fn pressure_limit(ask: &Ask) -> f64 {
-    let unlimited = ask.profile.urgent || ask.profile.class == Class::LatencyCritical;
+fn pressure_limit(request: &PlacementRequest) -> f64 {
+    let unlimited = request.profile.urgent || request.profile.class == Class::LatencyCritical;
     if unlimited {
         f64::INFINITY
     } else {
@@ -319,9 +342,9 @@
 /// The pressure of an overdue task itself is ignored, so that no task waits forever.
 /// A recently evicted task must wait for lower pressure, or it would be evicted again
 /// and again.
-fn is_overdue(placer: &Placer, ask: &Ask, now: Monotonic) -> bool {
-    let is_late = ask.waited_ms >= ask.profile.deadline_ms.saturating_mul(2);
-    is_late && placer.budgets.recent(ask.task, now) == 0
+fn is_overdue(placer: &Placer, request: &PlacementRequest, now: Monotonic) -> bool {
+    let is_late = request.waited_ms >= request.profile.deadline_ms.saturating_mul(2);
+    is_late && placer.budgets.recent(request.task, now) == 0
 }
 
 /// Describes the first resource that is short.
--- a/crates/verbenahitch/src/placement/victim.rs
+++ b/crates/verbenahitch/src/placement/eviction.rs
@@ -21,11 +21,11 @@
     f64::from(resident.profile.worth) * (1.0 + (ran / expected).min(1.0))
 }
 
-/// Whether a task of the `running` profile may be evicted for `ask`.
-pub(super) fn yields(running: &Profile, ask: &Profile) -> bool {
-    let lower = match ask.class {
-        Class::LatencyCritical => ask.urgent || running.worth < ask.worth,
-        Class::Batch => ask.urgent,
+/// Whether a task of the `running` profile may be evicted for `request`.
+pub(super) fn yields(running: &Profile, request: &Profile) -> bool {
+    let lower = match request.class {
+        Class::LatencyCritical => request.urgent || running.worth < request.worth,
+        Class::Batch => request.urgent,
     };
     lower && running.class == Class::Batch && !running.urgent && running.eviction.allowed
 }
@@ -35,7 +35,7 @@
 /// Tasks that are already stopping count as free room, and reservations as needed.
 pub(super) fn cheapest(
     host: &Host,
-    ask: &Profile,
+    request: &Profile,
     need: Resources,
     budgets: &Budgets,
     now: Monotonic,
@@ -49,7 +49,7 @@
     let need = need + host.reserved;
     let mut room = host.capacity + stopping(host, now);
     let mut chosen = Vec::new();
-    for (cost, entry) in candidates(host, ask, budgets, now) {
+    for (cost, entry) in candidates(host, request, budgets, now) {
         if need.fits(room) {
             break;
         }
@@ -81,14 +81,14 @@
 
 fn candidates<'a>(
     host: &'a Host,
-    ask: &Profile,
+    request: &Profile,
     budgets: &Budgets,
     now: Monotonic,
 ) -> Vec<(f64, &'a ResidentEntry)> {
     let mut all: Vec<(f64, &ResidentEntry)> = host
         .residents
         .iter()
-        .filter(|entry| entry.stopping_until <= now && yields(&entry.resident.profile, ask))
+        .filter(|entry| entry.stopping_until <= now && yields(&entry.resident.profile, request))
         .filter(|entry| budgets.allows(entry.resident.task, &entry.resident.profile, now))
         .map(|entry| (cost(&entry.resident, now), entry))
         .collect();
--- a/crates/verbenahitch/src/placement/mod.rs
+++ b/crates/verbenahitch/src/placement/mod.rs
@@ -8,6 +8,7 @@
 mod budget;
 mod choice;
 mod choose;
+mod eviction;
 mod host;
 mod index;
 mod observe;
@@ -16,8 +17,7 @@
 mod rank;
 mod score;
 mod size;
-mod victim;
 
-pub use choice::{Ask, Choice, Overcommit, Reason, Resident, WorkerState};
+pub use choice::{Choice, Overcommit, PlacementRequest, Reason, Resident, WorkerState};
 pub use placer::Placer;
-pub use rank::{Offer, Queue};
+pub use rank::{OfferResult, Queue};
--- a/crates/verbenahitch/src/placement/observe.rs
+++ b/crates/verbenahitch/src/placement/observe.rs
@@ -3,14 +3,14 @@
 
 use crate::domain::{Class, Monotonic, WorkerKey};
 use crate::interference::{
-    Action, Controller, Observation, ProfileId, Relief, Slowdown, Suspect, Victim,
+    Action, Controller, Mitigation, Observation, ProfileId, Slowdown, Suspect, Victim,
 };
 use crate::port::{LatencyReport, Usage};
 
+use super::eviction;
 use super::host::Host;
 use super::placer::{self, Placer};
 use super::score;
-use super::victim;
 
 impl Placer {
     /// Updates the estimates with a worker's usage report, which lags by its `age_ms`.
@@ -95,21 +95,21 @@
     /// Actions to take against interference: throttle, restore or evict.
     ///
     /// The placer's state assumes that the caller carries them out.
-    pub fn relieve(&mut self, now: Monotonic) -> Vec<Relief> {
+    pub fn mitigate(&mut self, now: Monotonic) -> Vec<Mitigation> {
         self.estimator.refresh(&self.profiles, now);
         self.budgets.prune(now);
         self.expire_reservations(now);
         let workers: Vec<WorkerKey> = self.hosts.keys().collect();
-        let mut reliefs = Vec::new();
+        let mut mitigations = Vec::new();
         for worker in workers {
             let actions = self.decide(worker, now);
-            reliefs.extend(
+            mitigations.extend(
                 actions
                     .into_iter()
                     .map(|action| self.apply(worker, action, now)),
             );
         }
-        reliefs
+        mitigations
     }
 
     fn decide(&mut self, worker: WorkerKey, now: Monotonic) -> Vec<Action> {
@@ -163,14 +163,14 @@
                     contribution: max_slope * entry.activity,
                     share: entry.share,
                     min_share: resident.profile.min_share,
-                    cost: victim::cost(resident, now),
+                    cost: eviction::cost(resident, now),
                     evictable: self.budgets.allows(resident.task, &resident.profile, now),
                 }
             })
             .collect()
     }
 
-    fn apply(&mut self, worker: WorkerKey, action: Action, now: Monotonic) -> Relief {
+    fn apply(&mut self, worker: WorkerKey, action: Action, now: Monotonic) -> Mitigation {
         let host = &mut self.hosts[worker];
         match action {
             Action::SetShare { at, share } => {
@@ -180,7 +180,7 @@
                 entry.settled_at = now + placer::USAGE_SETTLE_MS;
                 let task = entry.resident.task;
                 host.recompute_sums();
-                Relief::Throttle {
+                Mitigation::Throttle {
                     worker,
                     task,
                     share,
@@ -192,7 +192,7 @@
                 entry.stopping_until =
                     now + entry.resident.profile.eviction.grace_ms + placer::RESERVATION_MARGIN_MS;
                 self.budgets.record(task, now);
-                Relief::Evict { worker, task }
+                Mitigation::Evict { worker, task }
             }
         }
     }
--- a/crates/verbenahitch/src/placement/placer.rs
+++ b/crates/verbenahitch/src/placement/placer.rs
@@ -15,7 +15,7 @@
 use super::quota::Quotas;
 use super::score::Racks;
 use super::size::UsageStats;
-use super::{Ask, Overcommit, Resident, WorkerState};
+use super::{Overcommit, PlacementRequest, Resident, WorkerState};
 
 /// Time beyond the grace period of an eviction until its reservation expires and its
 /// tasks no longer count as stopping.
@@ -35,7 +35,7 @@
 /// Committed resources of a shard's workers, and the choice of a worker for a task.
 ///
 /// The committed resources of a worker are the sum of its residents' `resources`
-/// as passed to [`Self::occupy`]; the worker limits each run to its commitment.
+/// as passed to [`Self::commit`]; the worker limits each run to its commitment.
 /// Neither observed usage nor throttling changes a commitment.
 #[derive(Debug, Default)]
 pub struct Placer {
@@ -66,11 +66,11 @@
     }
 
     /// Applies new declarations; `share` is this shard's fraction of the teams' quotas, 0.0 to 1.0.
-    pub fn declare(&mut self, declared: Arc<Declarations>, share: f64) {
+    pub fn set_declarations(&mut self, declared: Arc<Declarations>, share: f64) {
         for (name, profile) in &declared.profiles {
             self.profiles.refresh(name, profile);
         }
-        self.quotas.declare(Arc::clone(&declared), share);
+        self.quotas.set_declarations(Arc::clone(&declared), share);
         self.declared = declared;
     }
 
@@ -112,7 +112,7 @@
             .map(|entry| entry.resident.task)
             .collect();
         for task in tasks {
-            self.vacate(worker, task);
+            self.release(worker, task);
         }
         self.reservations
             .retain(|_, reservation| reservation.worker != worker);
@@ -147,7 +147,7 @@
     /// # Errors
     ///
     /// If the worker has too little room or does not exist; nothing changes then.
-    pub fn occupy(&mut self, worker: WorkerKey, resident: Resident) -> Result<(), Overcommit> {
+    pub fn commit(&mut self, worker: WorkerKey, resident: Resident) -> Result<(), Overcommit> {
         let needed = resident.resources;
         let short = |free| Overcommit { needed, free };
         let host = self.hosts.get(worker).ok_or(short(Resources::ZERO))?;
@@ -161,7 +161,7 @@
             return Err(short(free));
         }
         if replaced.is_some() {
-            self.vacate(worker, resident.task);
+            self.release(worker, resident.task);
         }
         self.cancel_reservation(resident.task);
         self.add_resident(worker, resident);
@@ -195,7 +195,7 @@
     }
 
     /// Releases a task's resources on a worker; returns whether the task was there.
-    pub fn vacate(&mut self, worker: WorkerKey, task: TaskKey) -> bool {
+    pub fn release(&mut self, worker: WorkerKey, task: TaskKey) -> bool {
         let Some(host) = self.hosts.get_mut(worker) else {
             return false;
         };
@@ -225,29 +225,35 @@
         }
     }
 
-    /// Records that `victims` are being evicted from a worker to make room for `ask`.
+    /// Records that the tasks `evicted` are being evicted from a worker to make room for `request`.
     ///
-    /// The room is reserved for `ask`, and the evictions count against the budgets.
-    pub fn evict(&mut self, ask: &Ask, worker: WorkerKey, victims: &[TaskKey], now: Monotonic) {
+    /// The room is reserved for `request`, and the evictions count against the budgets.
+    pub fn record_evictions(
+        &mut self,
+        request: &PlacementRequest,
+        worker: WorkerKey,
+        evicted: &[TaskKey],
+        now: Monotonic,
+    ) {
         let Some(host) = self.hosts.get_mut(worker) else {
             return;
         };
         let mut longest_grace = 0;
         for entry in &mut host.residents {
-            if victims.contains(&entry.resident.task) {
+            if evicted.contains(&entry.resident.task) {
                 let own_grace = entry.resident.profile.eviction.grace_ms;
                 entry.stopping_until = now + own_grace + RESERVATION_MARGIN_MS;
                 self.budgets.record(entry.resident.task, now);
                 longest_grace = longest_grace.max(own_grace);
             }
         }
-        self.cancel_reservation(ask.task);
+        self.cancel_reservation(request.task);
         let reservation = Reservation {
             worker,
-            need: ask.profile.resources,
+            need: request.profile.resources,
             until: now + longest_grace + RESERVATION_MARGIN_MS,
         };
-        self.reservations.insert(ask.task, reservation);
+        self.reservations.insert(request.task, reservation);
         self.hosts[worker].reserved += reservation.need;
         self.reindex(worker);
     }
@@ -262,7 +268,7 @@
     /// Returns the declared resources until enough usage was observed; accelerators
     /// are always as declared. Commit the result only where the worker enforces it
     /// as a limit on the run.
-    pub fn size(&self, name: &str, profile: &Profile) -> Resources {
+    pub fn predicted_size(&self, name: &str, profile: &Profile) -> Resources {
         let usages = self
             .profiles
             .id(name)
--- a/crates/verbenahitch/src/placement/quota.rs
+++ b/crates/verbenahitch/src/placement/quota.rs
@@ -16,7 +16,7 @@
 
 impl Quotas {
     /// Applies new declarations; `share` is this shard's fraction of each quota.
-    pub(super) fn declare(&mut self, declared: Arc<Declarations>, share: f64) {
+    pub(super) fn set_declarations(&mut self, declared: Arc<Declarations>, share: f64) {
         self.declared = declared;
         self.share = share.clamp(0.0, 1.0);
     }
--- a/crates/verbenahitch/src/placement/rank.rs
+++ b/crates/verbenahitch/src/placement/rank.rs
@@ -11,7 +11,7 @@
 use crate::collections::HashMap;
 use crate::domain::{Millis, Monotonic, Profile, TaskKey};
 
-use super::{Ask, Placer};
+use super::{PlacementRequest, Placer};
 
 /// Doublings of a task's worth for each deadline that it has waited.
 const WAIT_DOUBLINGS: f64 = 8.0;
@@ -31,11 +31,11 @@
 
 /// Result of offering a task for placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum OfferResult {
     /// The task was placed; the next task of its profile is offered.
-    Taken,
+    Placed,
     /// Room is reserved for the task; it waits, and the next task of its profile is offered.
-    Promised,
+    Reserved,
     /// The task was not placed; no further task of its profile is offered in this call.
     Declined,
 }
@@ -53,7 +53,7 @@
 
 #[derive(Debug, Default)]
 struct ProfileQueue {
-    asks: VecDeque<(Monotonic, Ask)>,
+    requests: VecDeque<(Monotonic, PlacementRequest)>,
 }
 
 impl Queue {
@@ -73,19 +73,19 @@
     }
 
     /// Adds a task that has waited since `since`; no effect if it is already waiting.
-    pub fn push(&mut self, ask: Ask, since: Monotonic) {
-        if self.waiting.contains_key(&ask.task) {
+    pub fn push(&mut self, request: PlacementRequest, since: Monotonic) {
+        if self.waiting.contains_key(&request.task) {
             return;
         }
-        self.waiting.insert(ask.task, since);
+        self.waiting.insert(request.task, since);
         let queues = &mut self.queues;
-        let at = *self.by_name.entry(ask.name.clone()).or_insert_with(|| {
+        let at = *self.by_name.entry(request.name.clone()).or_insert_with(|| {
             queues.push(ProfileQueue::default());
             queues.len() - 1
         });
-        let asks = &mut self.queues[at].asks;
-        let position = asks.partition_point(|(earlier, _)| *earlier <= since);
-        asks.insert(position, (since, ask));
+        let requests = &mut self.queues[at].requests;
+        let position = requests.partition_point(|(earlier, _)| *earlier <= since);
+        requests.insert(position, (since, request));
     }
 
     /// Withdraws a task in constant time; returns whether it was waiting.
@@ -93,23 +93,23 @@
         self.waiting.remove(&task).is_some()
     }
 
-    /// Offers waiting tasks in order of rank and removes those that are taken.
-    pub fn drain(
+    /// Offers waiting tasks in order of rank and removes those that are placed.
+    pub fn offer_all(
         &mut self,
         placer: &mut Placer,
         now: Monotonic,
-        mut offer: impl FnMut(&mut Placer, Ask) -> Offer,
+        mut offer: impl FnMut(&mut Placer, PlacementRequest) -> OfferResult,
     ) {
         let mut cursors = vec![Some(0); self.queues.len()];
-        while let Some((at, cursor, ask)) = self.highest(&mut cursors, placer, now) {
-            let task = ask.task;
-            match offer(placer, ask) {
-                Offer::Taken => {
-                    self.queues[at].asks.remove(cursor);
+        while let Some((at, cursor, request)) = self.highest(&mut cursors, placer, now) {
+            let task = request.task;
+            match offer(placer, request) {
+                OfferResult::Placed => {
+                    self.queues[at].requests.remove(cursor);
                     self.waiting.remove(&task);
                 }
-                Offer::Promised => cursors[at] = Some(cursor + 1),
-                Offer::Declined => cursors[at] = None,
+                OfferResult::Reserved => cursors[at] = Some(cursor + 1),
+                OfferResult::Declined => cursors[at] = None,
             }
         }
     }
@@ -120,26 +120,27 @@
         cursors: &mut [Option<usize>],
         placer: &Placer,
         now: Monotonic,
-    ) -> Option<(usize, usize, Ask)> {
+    ) -> Option<(usize, usize, PlacementRequest)> {
         let mut best: Option<(f64, usize, usize)> = None;
         for (at, position) in cursors.iter_mut().enumerate() {
             let Some(cursor) = *position else {
                 continue;
             };
-            let Some((since, ask)) = self.queues[at].skip_withdrawn(cursor, &self.waiting) else {
+            let Some((since, request)) = self.queues[at].skip_withdrawn(cursor, &self.waiting)
+            else {
                 *position = None;
                 continue;
             };
-            let rank = placer.rank(&ask.profile, now.since(*since));
+            let rank = placer.rank(&request.profile, now.since(*since));
             if best.is_none_or(|(top, _, _)| rank > top) {
                 best = Some((rank, at, cursor));
             }
         }
         let (_, at, cursor) = best?;
-        let (since, ask) = &self.queues[at].asks[cursor];
-        let mut ask = ask.clone();
-        ask.waited_ms = now.since(*since);
-        Some((at, cursor, ask))
+        let (since, request) = &self.queues[at].requests[cursor];
+        let mut request = request.clone();
+        request.waited_ms = now.since(*since);
+        Some((at, cursor, request))
     }
 }
 
@@ -149,13 +150,13 @@
         &mut self,
         cursor: usize,
         waiting: &HashMap<TaskKey, Monotonic>,
-    ) -> Option<&(Monotonic, Ask)> {
-        while let Some((since, ask)) = self.asks.get(cursor) {
-            if waiting.get(&ask.task) == Some(since) {
+    ) -> Option<&(Monotonic, PlacementRequest)> {
+        while let Some((since, request)) = self.requests.get(cursor) {
+            if waiting.get(&request.task) == Some(since) {
                 break;
             }
-            self.asks.remove(cursor);
+            self.requests.remove(cursor);
         }
-        self.asks.get(cursor)
+        self.requests.get(cursor)
     }
 }
--- a/crates/verbenahitch/src/placement/score.rs
+++ b/crates/verbenahitch/src/placement/score.rs
@@ -4,7 +4,7 @@
 use crate::domain::{Class, JobKey, Monotonic, Profile, Resources};
 use crate::interference::{Estimator, ProfileId, ProfileTable};
 
-use super::Ask;
+use super::PlacementRequest;
 use super::host::Host;
 
 const PRESSURE_WEIGHT: f64 = 4.0;
@@ -44,22 +44,22 @@
 }
 
 impl Scorer<'_> {
-    /// Scores a worker for `ask`, which needs `need` of it.
+    /// Scores a worker for `request`, which needs `need` of it.
     pub(super) fn score(
         &self,
         host: &Host,
-        ask: &Ask,
+        request: &PlacementRequest,
         id: Option<ProfileId>,
         need: Resources,
     ) -> Score {
-        let (pressure, throttled_pressure) = match ask.profile.class {
-            Class::Batch => self.pressure_by(host, ask, id),
+        let (pressure, throttled_pressure) = match request.profile.class {
+            Class::Batch => self.pressure_by(host, request, id),
             Class::LatencyCritical => {
-                let pressure = self.pressure_on(host, ask, id);
+                let pressure = self.pressure_on(host, request, id);
                 (pressure, pressure)
             }
         };
-        let rack = self.racks.job_fraction(ask.task.job, host.rack);
+        let rack = self.racks.job_fraction(request.task.job, host.rack);
         let total =
             PRESSURE_WEIGHT * pressure + RACK_WEIGHT * rack + FIT_WEIGHT * slack(host, need);
         Score {
@@ -74,21 +74,27 @@
     /// are throttled.
     ///
     /// The second value leaves out the task itself if it is overdue or a trial.
-    fn pressure_by(&self, host: &Host, ask: &Ask, id: Option<ProfileId>) -> (f64, f64) {
+    fn pressure_by(
+        &self,
+        host: &Host,
+        request: &PlacementRequest,
+        id: Option<ProfileId>,
+    ) -> (f64, f64) {
         let mut worst: (f64, f64) = (0.0, 0.0);
         for victim in &host.victims {
             if victim.task_count == 0 && !victim.is_fresh(self.now) {
                 continue;
             }
             let limit = tolerance(self.profiles.profile(victim.profile).max_slowdown);
-            let own = self.own_pressure(victim.profile, ask, id);
+            let own = self.own_pressure(victim.profile, request, id);
             let counted = if self.overdue || self.is_trial(victim.profile, id) {
                 0.0
             } else {
-                own * ask.profile.min_share.max(ASSUMED_SHARE)
+                own * request.profile.min_share.max(ASSUMED_SHARE)
             };
             let unexplained = victim.unexplained(self.now);
-            let (present, throttled) = self.present_pressure(host, victim.profile, &ask.profile);
+            let (present, throttled) =
+                self.present_pressure(host, victim.profile, &request.profile);
             worst.0 = worst.0.max((present + unexplained + own) / limit);
             worst.1 = worst.1.max((throttled + unexplained + counted) / limit);
         }
@@ -96,8 +102,13 @@
     }
 
     /// Fraction of its baseline latency that the task itself would add to `victim`.
-    fn own_pressure(&self, victim: ProfileId, ask: &Ask, id: Option<ProfileId>) -> f64 {
-        id.map_or(ask.profile.pressure, |id| {
+    fn own_pressure(
+        &self,
+        victim: ProfileId,
+        request: &PlacementRequest,
+        id: Option<ProfileId>,
+    ) -> f64 {
+        id.map_or(request.profile.pressure, |id| {
             self.estimator.slope(self.profiles, victim, id)
         })
     }
@@ -115,13 +126,13 @@
     }
 
     /// Fraction of its baseline latency that the current sources add to `victim`:
-    /// without throttling, and with those of lower worth than `ask` throttled.
-    fn present_pressure(&self, host: &Host, victim: ProfileId, ask: &Profile) -> (f64, f64) {
+    /// without throttling, and with those of lower worth than `request` throttled.
+    fn present_pressure(&self, host: &Host, victim: ProfileId, request: &Profile) -> (f64, f64) {
         let (mut all, mut throttled) = (0.0, 0.0);
         for (source, activity) in &host.sources {
             let added = activity * self.estimator.slope(self.profiles, victim, *source);
             let profile = self.profiles.profile(*source);
-            let yields = profile.worth < ask.worth && !profile.urgent;
+            let yields = profile.worth < request.worth && !profile.urgent;
             all += added;
             throttled += if yields {
                 added * profile.min_share
@@ -133,7 +144,7 @@
     }
 
     /// Slowdown of a latency-critical task on `host`, as a fraction of what it tolerates.
-    fn pressure_on(&self, host: &Host, ask: &Ask, id: Option<ProfileId>) -> f64 {
+    fn pressure_on(&self, host: &Host, request: &PlacementRequest, id: Option<ProfileId>) -> f64 {
         let present = match id {
             Some(id) => self.estimator.added(self.profiles, id, &host.sources),
             None => host
@@ -142,7 +153,7 @@
                 .map(|(source, activity)| activity * self.profiles.profile(*source).pressure)
                 .sum(),
         };
-        present / tolerance(ask.profile.max_slowdown)
+        present / tolerance(request.profile.max_slowdown)
     }
 }
 
--- a/crates/verbenahitch/src/port/dispatch.rs
+++ b/crates/verbenahitch/src/port/dispatch.rs
@@ -1,7 +1,7 @@
 //! The platform's interfaces that the dispatcher uses: calls to workers, and the
 //! entries that operators and workers write to the key-value service.
 
-use crate::dispatch::{CallFailure, Look, Queue, Report, Start, Target, WorkerInfo};
+use crate::dispatch::{CallFailure, Poll, Queue, Report, Start, Target, WorkerInfo};
 use crate::domain::Millis;
 
 use super::{Item, KeyValue};
@@ -60,21 +60,21 @@
     /// # Errors
     ///
     /// When the entry does not describe a usable worker.
-    fn worker(&self, item: &Item) -> Result<WorkerInfo, String>;
+    fn parse_worker(&self, item: &Item) -> Result<WorkerInfo, String>;
 
     /// Parses an operator's entry.
     ///
     /// # Errors
     ///
     /// When the entry is malformed.
-    fn directive(&self, item: &Item) -> Result<Directive, String>;
+    fn parse_directive(&self, item: &Item) -> Result<Directive, String>;
 
     /// Extends the leases of a worker's tasks and reads its lists of running and finished runs.
     ///
     /// # Errors
     ///
     /// When the worker refuses or does not answer.
-    async fn look(&self, look: &Look, fencing_token: u64) -> Result<Report, CallFailure>;
+    async fn poll(&self, poll: &Poll, fencing_token: u64) -> Result<Report, CallFailure>;
 
     /// Starts a run; returns the worker's clock.
     ///
--- a/crates/verbenahitch/src/port/kv.rs
+++ b/crates/verbenahitch/src/port/kv.rs
@@ -50,7 +50,7 @@
 
 impl Put {
     /// A key without a lease, which stays until it is removed.
-    pub fn lasting(key: String, value: Vec<u8>) -> Self {
+    pub fn persistent(key: String, value: Vec<u8>) -> Self {
         Self {
             key,
             value,
--- a/crates/verbenahitch/src/port/mod.rs
+++ b/crates/verbenahitch/src/port/mod.rs
@@ -14,7 +14,7 @@
 pub use dispatch::{Directive, Platform, QueueRoute, Queues};
 pub use hosts::{HostRecord, HostState};
 pub use kv::{Change, Item, KeyValue, KvError, Put, Transaction};
-pub use store::{Entry, Op, StoreError, Txn};
+pub use store::{Entry, Op, StoreError, TxnOutcome};
 pub use worker::{
     Command, EndKind, Ended, LatencyReport, Refusal, Running, SyncError, SyncReply, SyncRequest,
     TaskUsage, Usage,
--- a/crates/verbenahitch/src/port/store.rs
+++ b/crates/verbenahitch/src/port/store.rs
@@ -13,9 +13,9 @@
     /// Value, at most one megabyte.
     pub value: Vec<u8>,
     /// Index of the last change of the key, for compare-and-swap.
-    pub modify: u64,
+    pub modify_index: u64,
     /// Number of times that the key has been locked, used as the fencing epoch of the lock.
-    pub lock: u64,
+    pub lock_index: u64,
     /// Session that holds the lock, if any.
     pub session: Option<String>,
 }
@@ -60,7 +60,7 @@
 
 /// Outcome of a transaction that the store answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Txn {
+pub enum TxnOutcome {
     /// Every operation took effect.
     Committed {
         /// Index of the change.
--- a/crates/verbenahitch/src/replay/batch.rs
+++ b/crates/verbenahitch/src/replay/batch.rs
@@ -6,8 +6,8 @@
 use super::driver::{Driver, TICK_MS};
 use super::fleet::{Run, State};
 use crate::domain::{JobKey, Millis, Monotonic, Resources, TaskKey, WorkerKey};
-use crate::interference::Relief;
-use crate::placement::{Ask, Choice, Offer, Reason, Resident, WorkerState};
+use crate::interference::Mitigation;
+use crate::placement::{Choice, OfferResult, PlacementRequest, Reason, Resident, WorkerState};
 
 const CHECKPOINT_MS: Millis = 30_000;
 const LEASE_MS: Millis = 10_000;
@@ -19,17 +19,17 @@
 
 /// A task that was placed on a worker.
 struct Start {
-    ask: Ask,
+    request: PlacementRequest,
     worker: WorkerKey,
     committed: Resources,
 }
 
 impl Driver<'_> {
-    pub(super) fn ask(&self, task: TaskKey, since: Monotonic) -> Ask {
+    pub(super) fn request(&self, task: TaskKey, since: Monotonic) -> PlacementRequest {
         let job = &self.jobs[task.job];
         let index = usize::try_from(task.index).unwrap_or(usize::MAX);
         let avoid = job.tasks[index].avoid.map(|at| &self.workers[at]);
-        Ask {
+        PlacementRequest {
             task,
             name: Arc::clone(&job.name),
             profile: Arc::clone(&job.profile),
@@ -41,19 +41,19 @@
     }
 
     pub(super) fn never_fits(&mut self, key: JobKey) -> bool {
-        let ask = self.ask(TaskKey { job: key, index: 0 }, self.now);
+        let request = self.request(TaskKey { job: key, index: 0 }, self.now);
         let cell = &self.cells[self.jobs[key].cell];
-        let choice = cell
-            .chooser
-            .choose(&cell.placer, &ask, ask.profile.resources, self.now);
-        matches!(choice, Choice::Never(_))
+        let choice =
+            cell.chooser
+                .choose(&cell.placer, &request, request.profile.resources, self.now);
+        matches!(choice, Choice::Infeasible(_))
     }
 
     pub(super) fn enqueue(&mut self, task: TaskKey, since: Monotonic) {
-        let ask = self.ask(task, since);
+        let request = self.request(task, since);
         let job = &mut self.jobs[task.job];
         job.task(task.index).state = State::Waiting(since);
-        self.cells[job.cell].queue.push(ask, since);
+        self.cells[job.cell].queue.push(request, since);
     }
 
     /// Offers waiting tasks to the placers.
@@ -67,43 +67,44 @@
             let (chooser, tally) = (&cell.chooser, &mut self.tally);
             let mut starts = Vec::new();
             let mut evictions = Vec::new();
-            cell.queue.drain(&mut cell.placer, now, |placer, ask| {
-                let need = chooser.need(placer, &ask);
-                let started = Instant::now();
-                let choice = chooser.choose(placer, &ask, need, now);
-                tally.decision_time += started.elapsed();
-                tally.decisions += 1;
-                match choice {
-                    Choice::Place { worker, .. } => {
-                        let start = Start {
-                            ask,
-                            worker,
-                            committed: need,
-                        };
-                        let resident = start.resident(now, self.next_run + 1);
-                        let taken = placer.occupy(worker, resident).is_ok();
-                        if taken {
-                            self.next_run += 1;
-                            starts.push((self.next_run, start));
-                            Offer::Taken
-                        } else {
-                            Offer::Declined
+            cell.queue
+                .offer_all(&mut cell.placer, now, |placer, request| {
+                    let need = chooser.need(placer, &request);
+                    let started = Instant::now();
+                    let choice = chooser.choose(placer, &request, need, now);
+                    tally.decision_time += started.elapsed();
+                    tally.decisions += 1;
+                    match choice {
+                        Choice::Place { worker, .. } => {
+                            let start = Start {
+                                request,
+                                worker,
+                                committed: need,
+                            };
+                            let resident = start.resident(now, self.next_run + 1);
+                            let placed = placer.commit(worker, resident).is_ok();
+                            if placed {
+                                self.next_run += 1;
+                                starts.push((self.next_run, start));
+                                OfferResult::Placed
+                            } else {
+                                OfferResult::Declined
+                            }
                         }
+                        Choice::Evict { worker, evicted } => {
+                            placer.record_evictions(&request, worker, &evicted, now);
+                            evictions.extend(evicted);
+                            OfferResult::Reserved
+                        }
+                        Choice::Wait(Reason::Promised) => OfferResult::Reserved,
+                        Choice::Wait(_) | Choice::Infeasible(_) => OfferResult::Declined,
                     }
-                    Choice::Evict { worker, victims } => {
-                        placer.evict(&ask, worker, &victims, now);
-                        evictions.extend(victims);
-                        Offer::Promised
-                    }
-                    Choice::Wait(Reason::Promised) => Offer::Promised,
-                    Choice::Wait(_) | Choice::Never(_) => Offer::Declined,
-                }
-            });
+                });
             for (run, start) in starts {
                 self.start(at, run, start);
             }
-            for victim in evictions {
-                self.evict_task(victim);
+            for task in evictions {
+                self.evict_task(task);
             }
         }
     }
@@ -115,11 +116,11 @@
         let Some(worker) = workers.position(is_chosen) else {
             return;
         };
-        let task = start.ask.task;
+        let task = start.request.task;
         let job = &mut self.jobs[task.job];
         let entry = job.task(task.index);
         if let State::Waiting(since) = entry.state
-            && start.ask.profile.urgent
+            && start.request.profile.urgent
         {
             let waited = self.now.since(since);
             self.tally.urgent_wait_ms = self.tally.urgent_wait_ms.max(waited);
@@ -128,8 +129,8 @@
         let run = Run {
             task,
             worker,
-            name: start.ask.name,
-            profile: start.ask.profile,
+            name: start.request.name,
+            profile: start.request.profile,
             committed: start.committed,
             share: 1.0,
             progress: entry.checkpoint,
@@ -241,7 +242,7 @@
         let run = self.runs.remove(&id)?;
         let worker = &mut self.workers[run.worker];
         worker.runs.retain(|other| *other != id);
-        self.cells[worker.cell].placer.vacate(worker.key, run.task);
+        self.cells[worker.cell].placer.release(worker.key, run.task);
         Some(run)
     }
 
@@ -285,8 +286,8 @@
         for at in 0..self.cells.len() {
             for action in self.cells[at].interference_actions(self.now) {
                 match action {
-                    Relief::Throttle { task, share, .. } => self.throttle(task, share),
-                    Relief::Evict { task, .. } => self.evict_task(task),
+                    Mitigation::Throttle { task, share, .. } => self.throttle(task, share),
+                    Mitigation::Evict { task, .. } => self.evict_task(task),
                 }
             }
         }
@@ -335,10 +336,10 @@
 impl Start {
     fn resident(&self, now: Monotonic, run: u64) -> Resident {
         Resident {
-            task: self.ask.task,
+            task: self.request.task,
             run,
-            name: Arc::clone(&self.ask.name),
-            profile: Arc::clone(&self.ask.profile),
+            name: Arc::clone(&self.request.name),
+            profile: Arc::clone(&self.request.profile),
             resources: self.committed,
             since: now,
         }
--- a/crates/verbenahitch/src/replay/cell.rs
+++ b/crates/verbenahitch/src/replay/cell.rs
@@ -4,8 +4,8 @@
 
 use crate::collections::HashSet;
 use crate::domain::{Monotonic, Resources, WorkerKey};
-use crate::interference::Relief;
-use crate::placement::{Ask, Choice, Placer, Queue, Reason};
+use crate::interference::Mitigation;
+use crate::placement::{Choice, PlacementRequest, Placer, Queue, Reason};
 use crate::port::Usage;
 
 /// Placement policy of a replay.
@@ -79,9 +79,9 @@
         }
     }
 
-    pub(super) fn interference_actions(&mut self, now: Monotonic) -> Vec<Relief> {
+    pub(super) fn interference_actions(&mut self, now: Monotonic) -> Vec<Mitigation> {
         match self.chooser.policy {
-            Policy::Aware => self.placer.relieve(now),
+            Policy::Aware => self.placer.mitigate(now),
             Policy::FirstFit | Policy::Reserved | Policy::Alone => Vec::new(),
         }
     }
@@ -89,38 +89,38 @@
 
 impl Chooser {
     /// Resources that are committed for a task.
-    pub(super) fn need(&self, placer: &Placer, ask: &Ask) -> Resources {
+    pub(super) fn need(&self, placer: &Placer, request: &PlacementRequest) -> Resources {
         match self.policy {
-            Policy::Aware => placer.size(&ask.name, &ask.profile),
-            Policy::FirstFit | Policy::Reserved | Policy::Alone => ask.profile.resources,
+            Policy::Aware => placer.predicted_size(&request.name, &request.profile),
+            Policy::FirstFit | Policy::Reserved | Policy::Alone => request.profile.resources,
         }
     }
 
     pub(super) fn choose(
         &self,
         placer: &Placer,
-        ask: &Ask,
+        request: &PlacementRequest,
         need: Resources,
         now: Monotonic,
     ) -> Choice {
         match self.policy {
-            Policy::Aware => placer.choose_sized(ask, need, now),
-            Policy::FirstFit | Policy::Reserved => self.first_fit(placer, ask, need),
+            Policy::Aware => placer.choose_sized(request, need, now),
+            Policy::FirstFit | Policy::Reserved => self.first_fit(placer, request, need),
             Policy::Alone => Choice::Wait(Reason::NoRoom),
         }
     }
 
-    fn first_fit(&self, placer: &Placer, ask: &Ask, need: Resources) -> Choice {
+    fn first_fit(&self, placer: &Placer, request: &PlacementRequest, need: Resources) -> Choice {
         let mut workers = self.order.iter().copied();
         if !workers
             .clone()
             .any(|worker| need.fits(placer.capacity(worker)))
         {
-            return Choice::Never("larger than every worker".to_owned());
+            return Choice::Infeasible("larger than every worker".to_owned());
         }
         let fitting = workers.find(|worker| {
             let available = !self.reserved.contains(worker) && !self.quarantined.contains(worker);
-            available && ask.avoid != Some(*worker) && need.fits(placer.free(*worker))
+            available && request.avoid != Some(*worker) && need.fits(placer.free(*worker))
         });
         match fitting {
             Some(worker) => Choice::Place {
--- a/crates/verbenahitch/src/replay/serving.rs
+++ b/crates/verbenahitch/src/replay/serving.rs
@@ -58,7 +58,9 @@
         self.zones.push(zone.to_owned());
         let cell_seed = self.seed ^ (cell as u64 + 1);
         let mut added = Cell::new(self.policy, cell_seed);
-        added.placer.declare(Arc::clone(&self.declared), 1.0);
+        added
+            .placer
+            .set_declarations(Arc::clone(&self.declared), 1.0);
         self.cells.push(added);
         let reserved = (self.reserved_fraction * count as f64).ceil() as usize;
         for at in 0..count {
@@ -118,7 +120,7 @@
             let placer = &mut self.cells[worker.cell].placer;
             // An upstream that does not fit is not committed here;
             // `check_commitments` counts the worker as overcommitted then.
-            let _ = placer.occupy(worker.key, resident);
+            let _ = placer.commit(worker.key, resident);
         }
     }
 
--- a/crates/verbenahitch/src/scheduler/daemon/acquire.rs
+++ b/crates/verbenahitch/src/scheduler/daemon/acquire.rs
@@ -57,9 +57,9 @@
     let batch = store.get(&keys::batch(shard)).await?;
     let jobs = store.list(&keys::jobs(shard)).await?;
     Ok(Some(Acquired {
-        epoch: after.lock,
+        epoch: after.lock_index,
         released: was_released(before.as_ref(), &after),
-        index: batch.map_or(0, |entry| entry.modify),
+        index: batch.map_or(0, |entry| entry.modify_index),
         jobs: jobs.iter().filter_map(decode).collect(),
     }))
 }
@@ -77,7 +77,7 @@
     Ok(entries.iter().filter_map(decode).collect())
 }
 
-/// Releases `shard`; `settled` says that no leases but those of this owner can remain on it.
+/// Releases `shard`; `recovered` tells whether only leases of this owner can remain on it.
 ///
 /// # Errors
 ///
@@ -87,11 +87,11 @@
     shard: &ShardId,
     session: &str,
     name: &str,
-    settled: bool,
+    recovered: bool,
 ) -> Result<bool, StoreError> {
     let value = keys::encode(&OwnerValue {
         owner: name.to_owned(),
-        released: settled,
+        released: recovered,
     });
     store.release(&keys::owner(shard), value, session).await
 }
@@ -100,10 +100,10 @@
 /// and `after`.
 fn was_released(before: Option<&Entry>, after: &Entry) -> bool {
     let Some(before) = before else {
-        return after.lock == 1;
+        return after.lock_index == 1;
     };
     let value: OwnerValue = serde_json::from_slice(&before.value).unwrap_or_default();
-    value.released && before.lock + 1 == after.lock
+    value.released && before.lock_index + 1 == after.lock_index
 }
 
 fn decode(entry: &Entry) -> Option<JobRecord> {
--- a/crates/verbenahitch/src/scheduler/daemon/commit.rs
+++ b/crates/verbenahitch/src/scheduler/daemon/commit.rs
@@ -8,7 +8,7 @@
 use crate::adapter::Store;
 use crate::collections::HashSet;
 use crate::domain::{JobId, ShardId};
-use crate::port::{Op, StoreError, Txn};
+use crate::port::{Op, StoreError, TxnOutcome};
 use crate::scheduler::{Batch, CommitError, Write};
 
 /// Writer of one shard for one epoch.
@@ -113,11 +113,11 @@
         ];
         ops.extend(writes);
         match self.store.transact(&ops).await {
-            Ok(Txn::Committed { index }) => {
+            Ok(TxnOutcome::Committed { index }) => {
                 self.index = index;
                 Ok(())
             }
-            Ok(Txn::Conflict { .. }) | Err(StoreError::Unanswered { .. }) => {
+            Ok(TxnOutcome::Conflict { .. }) | Err(StoreError::Unanswered { .. }) => {
                 self.resolve_outcome(&value).await
             }
             Err(error) => {
@@ -135,7 +135,7 @@
             return Err(CommitError::Unavailable);
         };
         if let Some(entry) = &batch {
-            self.index = entry.modify;
+            self.index = entry.modify_index;
             if entry.value == value {
                 return Ok(());
             }
--- a/crates/verbenahitch/src/scheduler/daemon/driver.rs
+++ b/crates/verbenahitch/src/scheduler/daemon/driver.rs
@@ -8,7 +8,7 @@
 use tokio::task::JoinHandle;
 
 use super::commit::Writer;
-use crate::adapter::Workers;
+use crate::adapter::WorkerClient;
 use crate::collections::HashMap;
 use crate::domain::Monotonic;
 use crate::event::{Entry, Kind};
@@ -51,7 +51,7 @@
     /// It was told to release the shard and has no calls in progress.
     Released {
         /// Whether no leases but those of this owner can remain on the shard.
-        settled: bool,
+        recovered: bool,
     },
     /// Another process owns the shard.
     Superseded,
@@ -67,7 +67,7 @@
 pub(super) struct Driver {
     shard: Shard,
     clock: Arc<dyn Clock>,
-    workers: Workers,
+    workers: WorkerClient,
     messages: mpsc::UnboundedReceiver<Message>,
     sender: mpsc::UnboundedSender<Message>,
     commits: mpsc::UnboundedSender<Commit>,
@@ -84,7 +84,7 @@
     pub(super) fn new(
         shard: Shard,
         clock: Arc<dyn Clock>,
-        workers: Workers,
+        workers: WorkerClient,
         writer: Writer,
         channel: (
             mpsc::UnboundedSender<Message>,
@@ -138,8 +138,8 @@
             if let Some(since) = releasing {
                 let timed_out = self.clock.now().since(since) > RELEASE_TIMEOUT_MS;
                 if self.shard.is_released() || timed_out {
-                    let settled = self.shard.is_released() && self.shard.is_settled();
-                    return self.finish(Exit::Released { settled }).await;
+                    let recovered = self.shard.is_released() && self.shard.is_recovered();
+                    return self.finish(Exit::Released { recovered }).await;
                 }
             }
             self.publish();
@@ -158,7 +158,7 @@
     fn ask(&mut self, body: Request, reply: oneshot::Sender<Answer>) -> Option<Exit> {
         self.last_request += 1;
         self.replies.insert(self.last_request, reply);
-        self.step(Input::Asked {
+        self.step(Input::Requested {
             request: self.last_request,
             body,
             wall_ms: self.clock.wall_ms(),
@@ -170,7 +170,7 @@
             .send(Commit::ExpectInInbox(record.id.clone()))
             .ok();
         self.last_request += 1;
-        self.step(Input::Asked {
+        self.step(Input::Requested {
             request: self.last_request,
             body: Request::Adopt(Box::new(record)),
             wall_ms: self.clock.wall_ms(),
@@ -195,7 +195,7 @@
                     }
                 }
                 Action::Log(entry) => entry.emit(),
-                Action::StandDown => exit = Some(Exit::Superseded),
+                Action::Superseded => exit = Some(Exit::Superseded),
             }
         }
         exit
--- a/crates/verbenahitch/src/scheduler/daemon/mod.rs
+++ b/crates/verbenahitch/src/scheduler/daemon/mod.rs
@@ -17,10 +17,10 @@
 use tokio::task::JoinHandle;
 
 use crate::adapter::{HostList, Store};
-use crate::config::{self, Current};
+use crate::config::{self, CurrentDeclarations};
 use crate::event::{Entry, Kind};
 use crate::http::{Exporter, ListenError};
-use crate::peer::{Handle, Identity, Incoming, Node, PeerError, Role};
+use crate::peer::{Handle, Identity, IncomingRequest, Node, PeerError, Role};
 use crate::port::{Clock, SystemClock};
 use crate::settings::{Settings, TokenError, read_token};
 
@@ -53,7 +53,7 @@
     /// Address of its peer interface.
     pub peers: SocketAddr,
     /// Declarations in force.
-    pub current: Current,
+    pub current: CurrentDeclarations,
     stop: watch::Sender<bool>,
     main: JoinHandle<()>,
 }
@@ -90,7 +90,7 @@
 /// When it cannot start.
 pub async fn start(settings: Settings) -> Result<Running, DaemonError> {
     let clock: Arc<dyn Clock> = Arc::new(SystemClock::default());
-    let current = Current::default();
+    let current = CurrentDeclarations::default();
     let exporter = Exporter::start(settings.scheduler.metrics);
     let exporter = exporter.await.context(MetricsSnafu)?;
     let (handle, requests) = start_node(&settings, &current, &clock)?;
@@ -121,9 +121,9 @@
 
 fn start_node(
     settings: &Settings,
-    current: &Current,
+    current: &CurrentDeclarations,
     clock: &Arc<dyn Clock>,
-) -> Result<(Handle, mpsc::Receiver<Incoming>), DaemonError> {
+) -> Result<(Handle, mpsc::Receiver<IncomingRequest>), DaemonError> {
     let token = read_token(&settings.peers.token_file).context(TokenSnafu)?;
     let identity = Identity {
         name: process_name(settings),
@@ -145,9 +145,9 @@
 async fn main(
     settings: Settings,
     clock: Arc<dyn Clock>,
-    current: Current,
+    current: CurrentDeclarations,
     handle: Handle,
-    requests: mpsc::Receiver<Incoming>,
+    requests: mpsc::Receiver<IncomingRequest>,
     stopping: watch::Receiver<bool>,
 ) {
     let platform = &settings.platform;
--- a/crates/verbenahitch/src/scheduler/daemon/owner/mod.rs
+++ b/crates/verbenahitch/src/scheduler/daemon/owner/mod.rs
@@ -19,13 +19,13 @@
 use super::process_name;
 use super::session::Session;
 use super::store_poll::PollResult;
-use crate::adapter::{Store, Workers};
+use crate::adapter::{Store, WorkerClient};
 use crate::collections::{HashMap, HashSet};
-use crate::config::{Current, Permit};
+use crate::config::{CurrentDeclarations, Permit};
 use crate::domain::{JobId, Monotonic, ShardId};
 use crate::event::{Entry, Kind};
 use crate::membership::OwnedShard;
-use crate::peer::{Handle, Incoming};
+use crate::peer::{Handle, IncomingRequest};
 use crate::port::{Clock, HostRecord};
 use crate::scheduler::{Input, Params, Shard, ShardStatus};
 use crate::settings::Settings;
@@ -54,9 +54,9 @@
     name: String,
     settings: Settings,
     store: Store,
-    workers: Workers,
+    workers: WorkerClient,
     clock: Arc<dyn Clock>,
-    current: Current,
+    current: CurrentDeclarations,
     handle: Handle,
     sessions: watch::Receiver<Option<Session>>,
     hosts: watch::Receiver<Arc<Vec<HostRecord>>>,
@@ -78,14 +78,14 @@
         settings: Settings,
         store: Store,
         clock: Arc<dyn Clock>,
-        current: Current,
+        current: CurrentDeclarations,
         handle: Handle,
         sessions: watch::Receiver<Option<Session>>,
         hosts: watch::Receiver<Arc<Vec<HostRecord>>>,
     ) -> Self {
         Self {
             name: process_name(&settings),
-            workers: Workers::new(settings.scheduler.sync_timeout_ms),
+            workers: WorkerClient::new(settings.scheduler.sync_timeout_ms),
             settings,
             store,
             clock,
@@ -107,7 +107,7 @@
     /// Runs until `stopping` becomes true, then releases every shard.
     pub(super) async fn run(
         mut self,
-        mut requests: mpsc::Receiver<Incoming>,
+        mut requests: mpsc::Receiver<IncomingRequest>,
         mut stopping: watch::Receiver<bool>,
     ) {
         let mut reconcile = tokio::time::interval(Duration::from_millis(RECONCILE_MS));
@@ -124,8 +124,8 @@
         self.release_all().await;
     }
 
-    fn forward(&self, incoming: Incoming) {
-        let Incoming {
+    fn forward(&self, incoming: IncomingRequest) {
+        let IncomingRequest {
             shard,
             request,
             reply,
@@ -164,8 +164,8 @@
             .entry(zone.to_owned())
             .or_insert_with(|| Permit::new(permit_ms));
         let contact = self.handle.store_contact();
-        let evidence = self.handle.evidence();
-        permit.review(contact, &evidence, &self.current.load(), zone, now)
+        let reports = self.handle.store_reports();
+        permit.evaluate(contact, &reports, &self.current.load(), zone, now)
     }
 
     /// Ends the drivers of shards that another process owns or whose session has lapsed.
@@ -289,7 +289,7 @@
 /// Workers of `shard` among `hosts`.
 fn workers_of(shard: &ShardId, shards: u32, hosts: &[HostRecord]) -> Vec<HostRecord> {
     let in_shard = |host: &&HostRecord| {
-        host.zone == shard.zone && ShardId::holding(&host.zone, &host.name, shards) == *shard
+        host.zone == shard.zone && ShardId::of_worker(&host.zone, &host.name, shards) == *shard
     };
     hosts.iter().filter(in_shard).cloned().collect()
 }
--- a/crates/verbenahitch/src/scheduler/daemon/owner/release.rs
+++ b/crates/verbenahitch/src/scheduler/daemon/owner/release.rs
@@ -22,8 +22,9 @@
             return;
         }
         let members = self.handle.members();
-        let surplus = membership::surplus(&self.name, &members, self.settings.peers.timeout_ms);
-        let Some(name) = surplus else {
+        let excess =
+            membership::shard_to_release(&self.name, &members, self.settings.peers.timeout_ms);
+        let Some(name) = excess else {
             return;
         };
         let owned = self.owned.keys().find(|shard| shard.to_string() == name);
@@ -43,10 +44,10 @@
         let name = self.name.clone();
         let session = session.id.clone();
         self.releases.spawn(async move {
-            let Ok(Exit::Released { settled }) = owned.driver.await else {
+            let Ok(Exit::Released { recovered }) = owned.driver.await else {
                 return;
             };
-            let released = acquire::release(&store, &shard, &session, &name, settled).await;
+            let released = acquire::release(&store, &shard, &session, &name, recovered).await;
             ownership_event(Kind::ShardReleased, &shard.to_string(), owned.epoch)
                 .with("in-store", released == Ok(true))
                 .emit();
--- a/crates/verbenahitch/src/scheduler/daemon/owner/vacancy.rs
+++ b/crates/verbenahitch/src/scheduler/daemon/owner/vacancy.rs
@@ -3,7 +3,7 @@
 use super::{INBOX_ROUNDS, Owner};
 use crate::collections::HashSet;
 use crate::domain::{Monotonic, ShardId};
-use crate::membership::Choice;
+use crate::membership::AcquireDecision;
 use crate::scheduler::daemon::driver::Message;
 use crate::scheduler::daemon::session::Session;
 use crate::scheduler::daemon::store_poll::{PollResult, StorePoll};
@@ -81,10 +81,11 @@
                 continue;
             }
             let since = *self.vacant_since.entry(shard.clone()).or_insert(now);
-            match Choice::of(&shard, &self.name, &members, self.settings.peers.timeout_ms) {
-                Choice::Now => wanted.push(shard),
-                Choice::After(delay) if now.since(since) >= delay => wanted.push(shard),
-                Choice::After(_) | Choice::No => {}
+            match AcquireDecision::of(&shard, &self.name, &members, self.settings.peers.timeout_ms)
+            {
+                AcquireDecision::Now => wanted.push(shard),
+                AcquireDecision::After(delay) if now.since(since) >= delay => wanted.push(shard),
+                AcquireDecision::After(_) | AcquireDecision::No => {}
             }
         }
         wanted
--- a/crates/verbenahitch/src/scheduler/message.rs
+++ b/crates/verbenahitch/src/scheduler/message.rs
@@ -38,7 +38,7 @@
     /// Time until which tasks may be started.
     Permit(Monotonic),
     /// A request; it is answered by an [`Action::Answer`] with the same number.
-    Asked {
+    Requested {
         /// Number of the request, unique in the process.
         request: u64,
         /// Content of the request.
@@ -108,7 +108,7 @@
     /// Writes a log entry.
     Log(Entry),
     /// Stops acting for the shard, which another process owns.
-    StandDown,
+    Superseded,
 }
 
 /// Writes that take effect atomically. A shard has at most one batch in flight.
--- a/crates/verbenahitch/src/scheduler/shard/commit.rs
+++ b/crates/verbenahitch/src/scheduler/shard/commit.rs
@@ -183,7 +183,7 @@
             }
             Err(CommitError::NotOwner) => {
                 if self.committer.inflight.as_mut().is_some_and(current) {
-                    self.stand_down("the store says that another process owns the shard", now);
+                    self.on_superseded("the store says that another process owns the shard", now);
                 }
             }
         }
--- a/crates/verbenahitch/src/scheduler/shard/evictions.rs
+++ b/crates/verbenahitch/src/scheduler/shard/evictions.rs
@@ -5,36 +5,36 @@
 use crate::collections::HashSet;
 use crate::domain::{Class, Millis, Monotonic, TaskKey, WorkerKey};
 use crate::event::{Entry, Kind};
-use crate::interference::Relief;
-use crate::placement::Ask;
+use crate::interference::Mitigation;
+use crate::placement::PlacementRequest;
 use crate::port::{Command, HostState};
 
 /// Time between two checks for interference.
-const RELIEF_MS: Millis = 500;
+const MITIGATION_MS: Millis = 500;
 
 impl Shard {
     /// Evicts tasks of a worker to make room for another; returns whether any eviction has begun.
     pub(super) fn make_room(
         &mut self,
-        ask: &Ask,
+        request: &PlacementRequest,
         worker: WorkerKey,
-        victims: &[TaskKey],
+        evicted: &[TaskKey],
         now: Monotonic,
     ) -> bool {
         let (mut tasks, mut runs) = (Vec::new(), HashSet::default());
-        for victim in victims {
-            let run = self.run_on(worker, *victim);
+        for task in evicted {
+            let run = self.run_on(worker, *task);
             if let Some(run) = run.filter(|run| self.evict(*run, true, "room for urgent work", now))
             {
-                tasks.push(*victim);
+                tasks.push(*task);
                 runs.insert(run);
             }
         }
         if runs.is_empty() {
             return false;
         }
-        self.placer.evict(ask, worker, &tasks, now);
-        self.making_room.insert(ask.task, runs);
+        self.placer.record_evictions(request, worker, &tasks, now);
+        self.making_room.insert(request.task, runs);
         true
     }
 
@@ -46,19 +46,19 @@
     }
 
     /// Throttles and evicts tasks as the placer decides, to reduce interference.
-    pub(super) fn relieve(&mut self, now: Monotonic) {
-        if now < self.relief_due {
+    pub(super) fn mitigate(&mut self, now: Monotonic) {
+        if now < self.mitigation_due {
             return;
         }
-        self.relief_due = now + RELIEF_MS;
-        for relief in self.placer.relieve(now) {
-            match relief {
-                Relief::Throttle {
+        self.mitigation_due = now + MITIGATION_MS;
+        for mitigation in self.placer.mitigate(now) {
+            match mitigation {
+                Mitigation::Throttle {
                     worker,
                     task,
                     share,
                 } => self.throttle(worker, task, share, now),
-                Relief::Evict { worker, task } => {
+                Mitigation::Evict { worker, task } => {
                     if let Some(run) = self.run_on(worker, task) {
                         self.evict(run, true, "interference", now);
                     }
--- a/crates/verbenahitch/src/scheduler/shard/mod.rs
+++ b/crates/verbenahitch/src/scheduler/shard/mod.rs
@@ -58,7 +58,7 @@
     since: Monotonic,
     released: bool,
     next_run: u32,
-    settled: bool,
+    recovered: bool,
 }
 
 /// A run that was assigned to a worker or that the worker reported.
@@ -113,7 +113,7 @@
     /// When the next check for tasks to mark that are not idempotent is due.
     marks_due: Monotonic,
     moves_due: Monotonic,
-    relief_due: Monotonic,
+    mitigation_due: Monotonic,
     last_pressures: ReportedPressures,
     /// Time of the last step.
     last_step: Monotonic,
@@ -152,7 +152,7 @@
             pass_due: Monotonic::default(),
             marks_due: Monotonic::default(),
             moves_due: Monotonic::default(),
-            relief_due: Monotonic::default(),
+            mitigation_due: Monotonic::default(),
             last_pressures: ReportedPressures::default(),
             last_step: Monotonic::default(),
             actions: Vec::new(),
@@ -175,11 +175,11 @@
             Input::Release => self.on_release(),
             Input::Authority(until) => self.authority = until,
             Input::Permit(until) => self.permit = until,
-            Input::Asked {
+            Input::Requested {
                 request,
                 body,
                 wall_ms,
-            } => self.on_asked(request, body, wall_ms, now),
+            } => self.on_requested(request, body, wall_ms, now),
             Input::Synced {
                 worker,
                 seq,
@@ -207,9 +207,9 @@
         let removal = self.removals.first().map(|(at, _)| *at);
         let pass = self.queues.has_ready().then_some(self.pass_due);
         let moves = (!self.in_service()).then_some(self.moves_due);
-        let relief = (!self.runs.is_empty()).then_some(self.relief_due);
+        let mitigation = (!self.runs.is_empty()).then_some(self.mitigation_due);
         let commit = self.committer.due(self.params.commit_ms);
-        [timer, delayed, removal, pass, moves, relief, commit]
+        [timer, delayed, removal, pass, moves, mitigation, commit]
             .into_iter()
             .flatten()
             .fold(now + self.params.sync_ms, Ord::min)
@@ -218,10 +218,10 @@
 
     /// Whether every lease of earlier owners has ended or is known to this owner.
     ///
-    /// Only a settled owner may mark the shard as released in the store, because
+    /// Only a recovered owner may mark the shard as released in the store, because
     /// the next owner then waits for the leases of this owner only.
-    pub fn is_settled(&self) -> bool {
-        self.owned.is_some_and(|owned| owned.settled)
+    pub fn is_recovered(&self) -> bool {
+        self.owned.is_some_and(|owned| owned.recovered)
     }
 
     /// Whether the shard can be released: all changes are durable and all runs were reported.
@@ -234,10 +234,10 @@
         self.log_permit(now);
         self.wake_delayed(now);
         self.remove_finished(now);
-        self.settle(now);
+        self.finish_recovery(now);
         self.unmark_ready();
         self.move_jobs(now);
-        self.relieve(now);
+        self.mitigate(now);
         self.report_pressures(now);
         self.start_ready(now);
         self.mark_ahead(now);
--- a/crates/verbenahitch/src/scheduler/shard/recovery.rs
+++ b/crates/verbenahitch/src/scheduler/shard/recovery.rs
@@ -2,7 +2,7 @@
 //!
 //! Tasks without a mark may start at once. A marked task waits until a worker
 //! reports it, or until every worker has answered under this epoch or its leases
-//! have provably lapsed; the shard is *settled* then.
+//! have provably lapsed; the shard is *recovered* then.
 
 use super::job::{Phase, Stage};
 use super::requests::unavailable;
@@ -26,7 +26,7 @@
             since: now,
             released,
             next_run: 0,
-            settled: false,
+            recovered: false,
         });
         let entry = Entry::new(Kind::ShardAcquired)
             .with("shard", &self.name)
@@ -80,14 +80,14 @@
     }
 
     /// Stops acting for the shard, because another process owns it.
-    pub(super) fn stand_down(&mut self, reason: &str, now: Monotonic) {
+    pub(super) fn on_superseded(&mut self, reason: &str, now: Monotonic) {
         let entry = Entry::new(Kind::ShardLost)
             .with("shard", &self.name)
             .with("reason", reason);
         self.log(entry);
         self.answer_open_requests();
         self.forget(now);
-        self.actions.push(Action::StandDown);
+        self.actions.push(Action::Superseded);
     }
 
     fn answer_open_requests(&mut self) {
@@ -124,7 +124,7 @@
         self.making_room.clear();
         self.committer.reset();
         for removed in std::mem::take(&mut self.runs).into_values() {
-            self.placer.vacate(removed.worker, removed.task);
+            self.placer.release(removed.worker, removed.task);
         }
         self.timers.clear();
         for (key, worker) in &mut self.workers {
@@ -135,17 +135,17 @@
         self.schedule_pass(now);
     }
 
-    /// Settles the shard if it can be, then resolves the tasks that no worker has reported.
-    pub(super) fn settle(&mut self, now: Monotonic) {
+    /// Marks the shard as recovered once it is, then resolves the tasks that no worker has reported.
+    pub(super) fn finish_recovery(&mut self, now: Monotonic) {
         let Some(owned) = self.owned else {
             return;
         };
-        if !owned.settled {
-            if !self.can_settle(owned, now) {
+        if !owned.recovered {
+            if !self.can_finish_recovery(owned, now) {
                 return;
             }
             self.owned = Some(Ownership {
-                settled: true,
+                recovered: true,
                 ..owned
             });
             let entry = Entry::new(Kind::ShardRecovered)
@@ -159,7 +159,7 @@
     }
 
     /// Whether every worker has answered, or all leases of earlier owners have lapsed.
-    fn can_settle(&self, owned: Ownership, now: Monotonic) -> bool {
+    fn can_finish_recovery(&self, owned: Ownership, now: Monotonic) -> bool {
         let outage_ms = if owned.released {
             0
         } else {
--- a/crates/verbenahitch/src/scheduler/shard/requests.rs
+++ b/crates/verbenahitch/src/scheduler/shard/requests.rs
@@ -9,7 +9,7 @@
     TaskOutcome,
 };
 use crate::event::{Entry, Kind};
-use crate::placement::{Ask, Choice};
+use crate::placement::{Choice, PlacementRequest};
 use crate::scheduler::{Action, Answer, Request, SubmitError};
 
 /// Largest number of tasks of a job.
@@ -22,7 +22,7 @@
 const RETRY_MS: Millis = 1_000;
 
 impl Shard {
-    pub(super) fn on_asked(
+    pub(super) fn on_requested(
         &mut self,
         request: u64,
         body: Request,
@@ -119,7 +119,7 @@
         profile: &Profile,
         now: Monotonic,
     ) -> Result<(), SubmitError> {
-        let ask = Ask {
+        let request = PlacementRequest {
             task: TaskKey {
                 job: JobKey::default(),
                 index: 0,
@@ -129,8 +129,8 @@
             avoid: None,
             waited_ms: 0,
         };
-        match self.placer.choose(&ask, now) {
-            Choice::Never(reason) => Err(SubmitError::NeverFits { reason }),
+        match self.placer.choose(&request, now) {
+            Choice::Infeasible(reason) => Err(SubmitError::NeverFits { reason }),
             Choice::Place { .. } | Choice::Evict { .. } | Choice::Wait(_) => Ok(()),
         }
     }
--- a/crates/verbenahitch/src/scheduler/shard/run_reports.rs
+++ b/crates/verbenahitch/src/scheduler/shard/run_reports.rs
@@ -21,13 +21,13 @@
             run.checkpoint_ms = run.checkpoint_ms.max(running.checkpoint_ms);
             let task = run.task;
             self.placer.set_share(key, task, running.share);
-            self.retry_occupy(key, running, now);
+            self.retry_commit(key, running, now);
             return self.evict_if_leaving(running.run, now);
         }
         if let Some(task) = self.task_key(&running.task)
             && self.adopt_run(key, task, running, now)
         {
-            self.retry_occupy(key, running, now);
+            self.retry_commit(key, running, now);
             return self.evict_if_leaving(running.run, now);
         }
         self.stop_superseded(key, &running.task, running.run, now);
@@ -65,7 +65,7 @@
         let newly_marked = job.record.marked.insert(task.index);
         let profile = job.profile.clone();
         let cancelled = job.record.cancelled;
-        let accounted = self.occupy_reported(key, task, running, profile, now);
+        let accounted = self.commit_reported(key, task, running, profile, now);
         self.set_phase(task, Some(Phase::Running(running.run)));
         self.workers[key].runs.insert(running.run);
         self.runs.insert(
@@ -92,14 +92,14 @@
 
     /// Retries to account for an adopted run; keeps its worker closed while the placer has no room
     /// for it.
-    fn retry_occupy(&mut self, key: WorkerKey, running: &Running, now: Monotonic) {
+    fn retry_commit(&mut self, key: WorkerKey, running: &Running, now: Monotonic) {
         let found = &self.runs[&running.run];
         if found.accounted {
             return;
         }
         let task = found.task;
         let profile = self.jobs[task.job].profile.clone();
-        if !self.occupy_reported(key, task, running, profile, now) {
+        if !self.commit_reported(key, task, running, profile, now) {
             self.workers[key].blocking_runs.insert(running.run);
         } else if let Some(found) = self.runs.get_mut(&running.run) {
             found.accounted = true;
@@ -107,7 +107,7 @@
     }
 
     /// Accounts for a reported run in the placer, with the resources that its worker reports.
-    fn occupy_reported(
+    fn commit_reported(
         &mut self,
         worker: WorkerKey,
         task: TaskKey,
@@ -126,7 +126,7 @@
             resources: running.resources,
             since: now,
         };
-        self.placer.occupy(worker, resident).is_ok()
+        self.placer.commit(worker, resident).is_ok()
     }
 
     /// Stops a superseded run, or cancels its start if that was not sent yet.
--- a/crates/verbenahitch/src/scheduler/shard/starts.rs
+++ b/crates/verbenahitch/src/scheduler/shard/starts.rs
@@ -6,7 +6,7 @@
 use super::{Run, Shard};
 use crate::domain::{JobKey, Millis, Monotonic, Profile, TaskKey, WorkerKey};
 use crate::event::{Entry, Kind};
-use crate::placement::{Ask, Choice, Reason, Resident};
+use crate::placement::{Choice, PlacementRequest, Reason, Resident};
 use crate::port::Command;
 
 /// Largest number of tasks tried in one step, so that a step stays short.
@@ -66,11 +66,14 @@
             return 0;
         }
         let task = TaskKey { job: key, index };
-        match self.ask(task, now).map(|ask| self.placer.choose(&ask, now)) {
+        match self
+            .request(task, now)
+            .map(|request| self.placer.choose(&request, now))
+        {
             Some(Choice::Place { .. }) => self.params.mark_ahead.min(NON_IDEMPOTENT_AHEAD),
             // Mark one task, so that evictions can begin when its start is tried.
             Some(Choice::Evict { .. }) => 1,
-            Some(Choice::Wait(_) | Choice::Never(_)) | None => 0,
+            Some(Choice::Wait(_) | Choice::Infeasible(_)) | None => 0,
         }
     }
 
@@ -142,9 +145,9 @@
         queue.ready.remove(&(job.order, key));
     }
 
-    fn ask(&self, task: TaskKey, now: Monotonic) -> Option<Ask> {
+    fn request(&self, task: TaskKey, now: Monotonic) -> Option<PlacementRequest> {
         let job = self.jobs.get(task.job)?;
-        Some(Ask {
+        Some(PlacementRequest {
             task,
             name: Arc::clone(&job.profile_name),
             profile: Arc::clone(job.profile.as_ref()?),
@@ -157,28 +160,28 @@
     }
 
     fn try_start(&mut self, task: TaskKey, now: Monotonic) -> StartOutcome {
-        let Some(ask) = self.ask(task, now) else {
+        let Some(request) = self.request(task, now) else {
             return StartOutcome::Blocked;
         };
-        match self.placer.choose(&ask, now) {
+        match self.placer.choose(&request, now) {
             Choice::Place {
                 worker,
                 runner_up,
                 reason,
-            } => self.launch(task, &ask, worker, runner_up, reason, now),
-            Choice::Evict { worker, victims } => {
-                self.log_waiting(task, &ask.name, "waits for evictions".to_owned(), now);
-                if self.make_room(&ask, worker, &victims, now) {
+            } => self.launch(task, &request, worker, runner_up, reason, now),
+            Choice::Evict { worker, evicted } => {
+                self.log_waiting(task, &request.name, "waits for evictions".to_owned(), now);
+                if self.make_room(&request, worker, &evicted, now) {
                     return StartOutcome::Evicting;
                 }
                 StartOutcome::Blocked
             }
             Choice::Wait(reason) => {
-                self.log_waiting(task, &ask.name, format!("{reason:?}"), now);
+                self.log_waiting(task, &request.name, format!("{reason:?}"), now);
                 StartOutcome::Blocked
             }
-            Choice::Never(reason) => {
-                self.log_waiting(task, &ask.name, reason, now);
+            Choice::Infeasible(reason) => {
+                self.log_waiting(task, &request.name, reason, now);
                 StartOutcome::Blocked
             }
         }
@@ -204,7 +207,7 @@
     fn launch(
         &mut self,
         task: TaskKey,
-        ask: &Ask,
+        request: &PlacementRequest,
         worker: WorkerKey,
         runner_up: Option<WorkerKey>,
         reason: Reason,
@@ -213,10 +216,10 @@
         let Some(run) = self.next_run() else {
             return StartOutcome::Blocked;
         };
-        if !self.occupy(worker, task, run, &ask.name, &ask.profile, now) {
+        if !self.commit(worker, task, run, &request.name, &request.profile, now) {
             return StartOutcome::Blocked;
         }
-        let command = self.start_command(task, run, &ask.profile);
+        let command = self.start_command(task, run, &request.profile);
         let checkpoint_ms = self.progress_of(task);
         self.set_phase(task, Some(Phase::Running(run)));
         self.making_room.remove(&task);
@@ -240,7 +243,7 @@
         let entry = Entry::new(Kind::Placed)
             .with_text("task", self.jobs[task.job].task_id(task.index))
             .with("run", run)
-            .with("profile", &*ask.name)
+            .with("profile", &*request.name)
             .with("chosen", &self.workers[worker].host.name)
             .with(
                 "runner-up",
@@ -260,7 +263,7 @@
     }
 
     /// Commits a worker's resources to a run; returns whether it had room.
-    pub(super) fn occupy(
+    pub(super) fn commit(
         &mut self,
         worker: WorkerKey,
         task: TaskKey,
@@ -277,7 +280,7 @@
             resources: profile.resources,
             since: now,
         };
-        self.placer.occupy(worker, resident).is_ok()
+        self.placer.commit(worker, resident).is_ok()
     }
 
     fn start_command(&self, task: TaskKey, run: u64, profile: &Profile) -> Command {
@@ -320,7 +323,7 @@
     /// Removes a run and releases its resources.
     pub(super) fn remove_run(&mut self, run: u64) -> Option<Run> {
         let removed = self.runs.remove(&run)?;
-        self.placer.vacate(removed.worker, removed.task);
+        self.placer.release(removed.worker, removed.task);
         if let Some(worker) = self.workers.get_mut(removed.worker) {
             worker.runs.remove(&run);
             worker.evicting -= usize::from(removed.evicting);
--- a/crates/verbenahitch/src/scheduler/shard/syncs.rs
+++ b/crates/verbenahitch/src/scheduler/shard/syncs.rs
@@ -276,7 +276,7 @@
         match error {
             SyncError::StaleEpoch { epoch } => {
                 if self.owned.is_some_and(|owned| epoch > owned.epoch) {
-                    return self.stand_down("a worker has seen a higher epoch", now);
+                    return self.on_superseded("a worker has seen a higher epoch", now);
                 }
             }
             // The worker may have accepted an earlier copy of the call; the next answer shows it.
--- a/crates/verbenahitch/src/scheduler/shard/zone.rs
+++ b/crates/verbenahitch/src/scheduler/shard/zone.rs
@@ -21,7 +21,7 @@
 impl Shard {
     /// Whether the shard's zone is in service.
     pub(super) fn in_service(&self) -> bool {
-        self.declared.is_in(&self.params.shard.zone)
+        self.declared.is_in_service(&self.params.shard.zone)
     }
 
     pub(super) fn on_declared(&mut self, declared: Arc<Declarations>, now: Monotonic) {
@@ -36,7 +36,8 @@
             .with("revision", self.declared.revision);
         self.log(entry);
         let share = self.quota_share();
-        self.placer.declare(Arc::clone(&self.declared), share);
+        self.placer
+            .set_declarations(Arc::clone(&self.declared), share);
         let keys: Vec<JobKey> = self.jobs.keys().collect();
         for key in keys {
             self.assign_profile(key);
@@ -55,7 +56,7 @@
             .declared
             .zones
             .iter()
-            .filter(|(name, _)| self.declared.is_in(name))
+            .filter(|(name, _)| self.declared.is_in_service(name))
             .map(|(_, zone)| zone.shards)
             .sum();
         1.0 / f64::from(shards.max(1))
@@ -167,9 +168,9 @@
     /// Removes a worker that is no longer listed and has no runs; returns whether it was removed.
     pub(super) fn drop_unlisted(&mut self, key: WorkerKey) -> bool {
         let worker = &self.workers[key];
-        let settled = self.is_settled();
+        let recovered = self.is_recovered();
         let holds = !worker.runs.is_empty() || !worker.ending.is_empty();
-        if worker.listed || holds || !settled {
+        if worker.listed || holds || !recovered {
             return false;
         }
         self.timers.remove(&(worker.due, key));
@@ -181,7 +182,7 @@
 
     /// Hands over jobs of which nothing can be running here, while the zone is out of service.
     pub(super) fn move_jobs(&mut self, now: Monotonic) {
-        if now < self.moves_due || self.in_service() || !self.is_settled() {
+        if now < self.moves_due || self.in_service() || !self.is_recovered() {
             return;
         }
         self.moves_due = now + MOVES_MS;
@@ -227,7 +228,7 @@
     fn targets(&self) -> Vec<ShardId> {
         let zones = self.declared.zones.iter();
         zones
-            .filter(|(name, _)| self.declared.is_in(name))
+            .filter(|(name, _)| self.declared.is_in_service(name))
             .flat_map(|(name, zone)| {
                 (0..zone.shards).map(|index| ShardId {
                     zone: name.clone(),
--- a/testsuite/tests/testsuite/dispatch/load.rs
+++ b/testsuite/tests/testsuite/dispatch/load.rs
@@ -61,15 +61,15 @@
         world.submit(100 + wave, "batch", job(vec![filler(2, 2, 1_500, "heavy")]));
         world.run(1_500);
     }
-    let learned = world.dispatcher.learned();
+    let learned = world.dispatcher.learned_pressures();
     let heavy = learned.iter().find(|pressure| pressure.0 == "heavy");
     assert!(
         heavy.is_some_and(|pressure| pressure.2 > 2.0),
         "{learned:?}"
     );
     world.take_over();
-    world.dispatcher.relearn(&learned);
-    assert_eq!(world.dispatcher.learned(), learned);
+    world.dispatcher.restore_pressures(&learned);
+    assert_eq!(world.dispatcher.learned_pressures(), learned);
 }
 
 /// A tenth of the workers slow down by a factor of six but still answer polls; their
--- a/testsuite/tests/testsuite/dispatch/world/mod.rs
+++ b/testsuite/tests/testsuite/dispatch/world/mod.rs
@@ -8,8 +8,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use verbenahitch::dispatch::{
-    Amount, Bounds, CallFailure, Dispatcher, EndCause, JobId, JobRecord, JobSpec, JobState, Look,
-    Now, Order, Report, RunKey, RunningEntry, Start, Target, TaskId, WorkerInfo, WorkerKey, Write,
+    Amount, Bounds, CallFailure, Dispatcher, EndCause, JobId, JobRecord, JobSpec, JobState, Now,
+    Order, Poll, Report, RunKey, RunningEntry, Start, Target, TaskId, WorkerInfo, WorkerKey, Write,
 };
 use verbenahitch::domain::{Millis, Monotonic};
 
@@ -33,7 +33,7 @@
     Started(RunKey, Result<Millis, CallFailure>),
     Stopped(RunKey, Result<Millis, CallFailure>),
     Paced(RunKey, u8),
-    Written,
+    CommitStored,
 }
 
 /// Start that a worker carried out.
@@ -66,7 +66,7 @@
     /// Time that standing tasks were over their target, summed over the tasks.
     pub over_ms: Millis,
     pub finished: BTreeMap<JobId, Millis>,
-    polls: Vec<(Millis, Look)>,
+    polls: Vec<(Millis, Poll)>,
     events: Vec<(Millis, Event)>,
     writing: Vec<Write>,
 }
@@ -122,11 +122,11 @@
                 memory_mb: 64_000,
                 gpus: 0,
             },
-            born: 1,
+            incarnation: 1,
             ..WorkerInfo::default()
         };
         self.dispatcher
-            .list_worker(info.clone(), Monotonic(self.now));
+            .upsert_worker(info.clone(), Monotonic(self.now));
         let worker = FakeWorker {
             info,
             speed: 1.0,
@@ -169,7 +169,7 @@
         self.declare();
         for worker in self.workers.values() {
             self.dispatcher
-                .list_worker(worker.info.clone(), Monotonic(self.now));
+                .upsert_worker(worker.info.clone(), Monotonic(self.now));
         }
         let now = self.clock();
         for (id, spec) in &self.specs {
@@ -211,7 +211,7 @@
         self.answer_polls();
         self.deliver();
         if self.store_up {
-            self.dispatcher.confirm(Monotonic(self.now));
+            self.dispatcher.confirm_ownership(Monotonic(self.now));
         }
         for order in self.dispatcher.pass(self.clock()) {
             self.execute(order);
@@ -220,7 +220,7 @@
             self.writing = self.dispatcher.take_writes(16);
             if !self.writing.is_empty() {
                 let at = self.now + self.commit_ms;
-                self.events.push((at, Event::Written));
+                self.events.push((at, Event::CommitStored));
             }
         }
         for id in self.specs.keys() {
@@ -240,17 +240,17 @@
         let at = Monotonic(now);
         for (_, event) in due {
             match event {
-                Event::Polled(key, result) => self.dispatcher.looked(key, result, at),
+                Event::Polled(key, result) => self.dispatcher.polled(key, result, at),
                 Event::Started(key, result) => self.dispatcher.started(key, result, at),
                 Event::Stopped(key, result) => self.dispatcher.stopped(key, result, at),
                 Event::Paced(key, percent) => {
                     self.dispatcher.paced(key, percent, Ok(now), at);
                 }
-                Event::Written => {
+                Event::CommitStored => {
                     for write in std::mem::take(&mut self.writing) {
                         self.records.insert(write.job, write);
                     }
-                    self.dispatcher.written(at);
+                    self.dispatcher.commit_stored(at);
                 }
             }
         }
@@ -259,10 +259,10 @@
     fn execute(&mut self, order: Order) {
         let at = self.now + CALL_MS;
         match order {
-            Order::Look(look) => {
+            Order::Poll(poll) => {
                 self.poll_count += 1;
-                self.acked.insert(look.name.clone(), look.acked);
-                self.polls.push((self.now + look.wait_ms, look));
+                self.acked.insert(poll.name.clone(), poll.acked);
+                self.polls.push((self.now + poll.wait_ms, poll));
             }
             Order::Start(start) => {
                 let key = start.target.key;
@@ -324,23 +324,23 @@
     fn answer_polls(&mut self) {
         let now = self.now;
         let polls = std::mem::take(&mut self.polls);
-        for (due, look) in polls {
-            let worker = &self.workers[&look.name];
-            let has_end = worker.ended.iter().any(|end| end.number > look.acked);
+        for (due, poll) in polls {
+            let worker = &self.workers[&poll.name];
+            let has_end = worker.ended.iter().any(|end| end.number > poll.acked);
             if !worker.silent && !has_end && now < due {
-                self.polls.push((due, look));
+                self.polls.push((due, poll));
                 continue;
             }
-            let result = self.report(&look);
+            let result = self.report(&poll);
             self.events
-                .push((now + CALL_MS, Event::Polled(look.worker, result)));
+                .push((now + CALL_MS, Event::Polled(poll.worker, result)));
         }
     }
 
-    fn report(&mut self, look: &Look) -> Result<Report, CallFailure> {
+    fn report(&mut self, poll: &Poll) -> Result<Report, CallFailure> {
         let fence = self.fence;
-        let tails = self.tails(&look.name);
-        let worker = self.workers.get_mut(&look.name).unwrap();
+        let tails = self.tails(&poll.name);
+        let worker = self.workers.get_mut(&poll.name).unwrap();
         if worker.silent {
             return Err(CallFailure::Unanswered("silent".to_owned()));
         }
@@ -348,8 +348,8 @@
             return Err(CallFailure::Fenced);
         }
         worker.fence = fence;
-        worker.lease_end = worker.lease_end.max(look.lease_end.unwrap_or(0));
-        worker.ended.retain(|end| end.number > look.acked);
+        worker.lease_end = worker.lease_end.max(poll.lease_end.unwrap_or(0));
+        worker.ended.retain(|end| end.number > poll.acked);
         let specs = &self.specs;
         let running = worker.runs.iter().zip(tails).map(|(run, tail)| {
             let spec = &specs[&run.task.job].steps[run.task.step as usize];
@@ -368,12 +368,12 @@
                 } else {
                     String::new()
                 },
-                percent: if spec.standing { 100 } else { percent.min(99) },
-                figure: tail,
+                progress_percent: if spec.standing { 100 } else { percent.min(99) },
+                measurement: tail,
             }
         });
         Ok(Report {
-            born: worker.info.born,
+            incarnation: worker.info.incarnation,
             clock_ms: self.now,
             running: running.collect(),
             ended: worker.ended.clone(),
--- a/testsuite/tests/testsuite/gateway/fixture.rs
+++ b/testsuite/tests/testsuite/gateway/fixture.rs
@@ -9,9 +9,9 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 use verbenahitch::adapter::Store;
-use verbenahitch::config::{Current, Declarations};
+use verbenahitch::config::{CurrentDeclarations, Declarations};
 use verbenahitch::domain::Resources;
-use verbenahitch::gateway::{Callers, Deps};
+use verbenahitch::gateway::{CallerListener, Deps};
 use verbenahitch::port::{HostRecord, HostState, SystemClock};
 use verbenahitch::settings::Settings;
 
@@ -24,8 +24,8 @@
 
 /// A gateway under test.
 pub struct Gateway {
-    pub callers: Callers,
-    pub current: Current,
+    pub callers: CallerListener,
+    pub current: CurrentDeclarations,
     pub hosts: watch::Sender<Arc<Vec<HostRecord>>>,
     pub http: reqwest::Client,
 }
@@ -76,7 +76,7 @@
             text["gateway"][key] = value.clone();
         }
         let settings: Settings = serde_json::from_value(text).unwrap();
-        let current = Current::default();
+        let current = CurrentDeclarations::default();
         let declarations: Declarations = serde_json::from_value(self.declarations).unwrap();
         assert_eq!(declarations.faults(), []);
         current.advance(Arc::new(declarations));
@@ -89,7 +89,7 @@
             clock: Arc::new(SystemClock::default()),
         };
         Gateway {
-            callers: Callers::start(deps).await.unwrap(),
+            callers: CallerListener::start(deps).await.unwrap(),
             current,
             hosts,
             http: reqwest::Client::builder()
--- a/testsuite/tests/testsuite/gateway/routing.rs
+++ b/testsuite/tests/testsuite/gateway/routing.rs
@@ -6,25 +6,25 @@
 use test_case::test_case;
 use verbenahitch::config::Declarations;
 use verbenahitch::domain::Monotonic;
-use verbenahitch::gateway::admission::Freed;
-use verbenahitch::gateway::route::{Health, Limit, Place, Reason, Table};
+use verbenahitch::gateway::admission::SlotSignal;
+use verbenahitch::gateway::route::{Health, Limit, Reason, RoutingConfig, Table};
 use verbenahitch::port::HostRecord;
 
 use super::fixture::{declarations, host};
 
 const NOW: Monotonic = Monotonic(1_000);
 
-fn place(name: &str, subset: usize) -> Place {
-    place_in("a", name, subset)
+fn config(name: &str, subset: usize) -> RoutingConfig {
+    config_in("a", name, subset)
 }
 
-fn place_in(zone: &str, name: &str, subset: usize) -> Place {
-    Place {
+fn config_in(zone: &str, name: &str, subset: usize) -> RoutingConfig {
+    RoutingConfig {
         name: name.to_owned(),
         zone: zone.to_owned(),
         subset,
         silence_ms: 1_000,
-        freed: Arc::new(Freed::default()),
+        slot_signal: Arc::new(SlotSignal::default()),
     }
 }
 
@@ -33,13 +33,13 @@
     ports.map(at).collect()
 }
 
-fn table(place: &Place, hosts: &[HostRecord]) -> Table {
+fn table(config: &RoutingConfig, hosts: &[HostRecord]) -> Table {
     let mut declarations = declarations();
     for zone in ["c", "d"] {
         declarations["zones"][zone]["state"] = "in".into();
     }
     let declarations: Declarations = serde_json::from_value(declarations).unwrap();
-    Table::default().next(place, hosts, Arc::new(declarations))
+    Table::default().next(config, hosts, Arc::new(declarations))
 }
 
 fn names(table: &Table) -> Vec<String> {
@@ -50,7 +50,7 @@
 
 #[test]
 fn less_busy_of_two_is_chosen() {
-    let table = table(&place("gw", 60), &hosts("a", 1..3));
+    let table = table(&config("gw", 60), &hosts("a", 1..3));
     let mut slots = Vec::new();
     for random in 0..16_u64 {
         let random = random.wrapping_mul(0x9e37_79b9_7f4a_7c15);
@@ -66,7 +66,7 @@
 
 #[test]
 fn tried_and_leaving_upstreams_are_not_chosen() {
-    let table = table(&place("gw", 60), &hosts("a", 1..5));
+    let table = table(&config("gw", 60), &hosts("a", 1..5));
     let upstreams: Vec<_> = table.upstreams().collect();
     upstreams[0].note_leaving();
     let tried = [upstreams[1].id, upstreams[2].id];
@@ -79,7 +79,7 @@
 
 #[test]
 fn leaving_upstream_returns_once_its_port_was_closed() {
-    let table = table(&place("gw", 60), &hosts("a", 1..2));
+    let table = table(&config("gw", 60), &hosts("a", 1..2));
     let upstream = table.upstreams().next().unwrap();
     assert!(upstream.note_leaving());
     // It still listens while it finishes the requests in progress.
@@ -95,7 +95,7 @@
 fn other_zone_is_chosen_when_the_own_is_full() {
     let mut all = hosts("a", 1..2);
     all.extend(hosts("b", 2..3));
-    let table = table(&place("gw", 60), &all);
+    let table = table(&config("gw", 60), &all);
     let near: Vec<_> = (0..8).map(|_| table.choose(NOW, 3, &[]).unwrap()).collect();
     assert!(near.iter().all(|choice| choice.reason != Reason::OtherZone));
     assert_eq!(table.choose(NOW, 3, &[]).unwrap().reason, Reason::OtherZone);
@@ -115,11 +115,11 @@
     let mut gateways = BTreeMap::<String, usize>::new();
     for number in 0..GATEWAYS {
         let zone = ZONES[number % ZONES.len()];
-        let place = place_in(zone, &format!("gw-{number}"), SUBSET);
-        let kept = names(&table(&place, &all));
+        let config = config_in(zone, &format!("gw-{number}"), SUBSET);
+        let kept = names(&table(&config, &all));
         assert_eq!(kept.len(), SUBSET);
         // Removing one worker replaces at most one member.
-        let fewer = names(&table(&place, &all[1..]));
+        let fewer = names(&table(&config, &all[1..]));
         assert!(kept.iter().filter(|name| !fewer.contains(name)).count() <= 1);
         for name in kept {
             *gateways.entry(name).or_default() += 1;
@@ -132,11 +132,11 @@
 
 #[test]
 fn upstream_state_is_kept_in_the_next_table() {
-    let place = place("gw", 60);
+    let config = config("gw", 60);
     let list = hosts("a", 1..3);
-    let first = table(&place, &list);
+    let first = table(&config, &list);
     let busy = first.choose(NOW, 0, &[]).unwrap();
-    let next = first.next(&place, &list[..], first.declarations.clone());
+    let next = first.next(&config, &list[..], first.declarations.clone());
     let in_flight: u32 = next.upstreams().map(|u| u.in_flight()).sum();
     assert_eq!(in_flight, 1);
     drop(busy);
@@ -145,7 +145,7 @@
 
 #[test]
 fn ejection_leaves_a_minimum_of_upstreams() {
-    let table = table(&place("gw", 60), &hosts("a", 1..11));
+    let table = table(&config("gw", 60), &hosts("a", 1..11));
     for upstream in table.upstreams() {
         for _ in 0..10 {
             upstream.health.failed(NOW, table.may_eject());
@@ -185,7 +185,7 @@
     }
     assert_eq!(limit.current(), 1);
     for _ in 0..10_000 {
-        limit.taken(limit.current());
+        limit.accepted(limit.current());
     }
     assert_eq!(limit.current(), slots);
 }
@@ -197,7 +197,7 @@
         limit.refused();
     }
     for _ in 0..10_000 {
-        limit.taken(0);
+        limit.accepted(0);
     }
     assert_eq!(limit.current(), 1);
 }
--- a/testsuite/tests/testsuite/interference/actions.rs
+++ b/testsuite/tests/testsuite/interference/actions.rs
@@ -2,13 +2,13 @@
 //! the slowdown, and without oscillation.
 
 use verbenahitch::domain::{Eviction, Profile};
-use verbenahitch::interference::Relief;
+use verbenahitch::interference::Mitigation;
 
 use super::simulation::{Simulation, batch_with_pressure};
 
-fn evictions(reliefs: &[Relief]) -> usize {
-    let evicts = |relief: &&Relief| matches!(relief, Relief::Evict { .. });
-    reliefs.iter().filter(evicts).count()
+fn evictions(mitigations: &[Mitigation]) -> usize {
+    let evicts = |mitigation: &&Mitigation| matches!(mitigation, Mitigation::Evict { .. });
+    mitigations.iter().filter(evicts).count()
 }
 
 fn unthrottleable() -> Profile {
@@ -40,17 +40,17 @@
 fn throttling_suffices_without_evictions() {
     let mut simulation = with_noisy_tasks(4, 0.3, &batch_with_pressure(0.2));
     assert!(simulation.slowdown(0) > 2.0);
-    let reliefs = simulation.run(60);
-    assert!(!reliefs.is_empty());
-    assert_eq!(evictions(&reliefs), 0);
+    let mitigations = simulation.run(60);
+    assert!(!mitigations.is_empty());
+    assert_eq!(evictions(&mitigations), 0);
     assert!(simulation.slowdown(0) <= 1.5, "{}", simulation.slowdown(0));
 }
 
 #[test]
 fn tasks_that_may_not_be_throttled_are_evicted() {
     let mut simulation = with_noisy_tasks(4, 0.3, &unthrottleable());
-    let reliefs = simulation.run(60);
-    assert!(evictions(&reliefs) >= 2);
+    let mitigations = simulation.run(60);
+    assert!(evictions(&mitigations) >= 2);
     assert!(simulation.slowdown(0) <= 1.5, "{}", simulation.slowdown(0));
 }
 
@@ -80,13 +80,15 @@
         }
     }
     simulation.run(20);
-    simulation.placer.relieve(simulation.now());
+    simulation.placer.mitigate(simulation.now());
     let harmless = simulation.put(0, "quiet", &batch_with_pressure(0.2));
-    let reliefs = simulation.run(60);
-    let touches = |relief: &Relief| match relief {
-        Relief::Throttle { task, .. } | Relief::Evict { task, .. } => *task == harmless.task,
+    let mitigations = simulation.run(60);
+    let touches = |mitigation: &Mitigation| match mitigation {
+        Mitigation::Throttle { task, .. } | Mitigation::Evict { task, .. } => {
+            *task == harmless.task
+        }
     };
-    assert!(!reliefs.iter().any(touches));
+    assert!(!mitigations.iter().any(touches));
 }
 
 #[test]
@@ -116,10 +118,10 @@
             ..unthrottleable()
         },
     );
-    let reliefs = simulation.run(60);
-    let first = reliefs.iter().find_map(|relief| match relief {
-        Relief::Evict { task, .. } => Some(*task),
-        Relief::Throttle { .. } => None,
+    let mitigations = simulation.run(60);
+    let first = mitigations.iter().find_map(|mitigation| match mitigation {
+        Mitigation::Evict { task, .. } => Some(*task),
+        Mitigation::Throttle { .. } => None,
     });
     assert!(first.is_some_and(|task| task != costly.task));
     assert!(
