--- a/testsuite/tests/testsuite/interference/attribution.rs
+++ b/testsuite/tests/testsuite/interference/attribution.rs
@@ -43,7 +43,7 @@
     for _ in 0..120 {
         simulation.report();
     }
-    simulation.placer.relieve(simulation.now());
+    simulation.placer.mitigate(simulation.now());
     assert_close(simulation.estimated("noisy").slowdown, 1.0 + case.noisy);
     assert_close(simulation.estimated("quiet").slowdown, 1.0 + case.quiet);
 }
--- a/testsuite/tests/testsuite/interference/simulation.rs
+++ b/testsuite/tests/testsuite/interference/simulation.rs
@@ -3,7 +3,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use verbenahitch::domain::{Monotonic, Profile, Resources, WorkerKey};
-use verbenahitch::interference::{Attribution, Relief};
+use verbenahitch::interference::{Attribution, Mitigation};
 use verbenahitch::placement::{Placer, Resident};
 use verbenahitch::port::{LatencyReport, TaskUsage, Usage};
 
@@ -59,10 +59,10 @@
 
     /// Starts a batch task on the worker at an index.
     pub fn put(&mut self, at: usize, name: &str, profile: &Profile) -> Resident {
-        let ask = self.tasks.ask(name, profile);
-        let resident = self.tasks.resident(&ask, self.now());
-        let occupied = self.placer.occupy(self.workers[at], resident.clone());
-        occupied.expect("the task fits");
+        let request = self.tasks.request(name, profile);
+        let resident = self.tasks.resident(&request, self.now());
+        let committed = self.placer.commit(self.workers[at], resident.clone());
+        committed.expect("the task fits");
         self.loads[at].runs.push((resident.clone(), 1.0));
         resident
     }
@@ -118,22 +118,22 @@
     }
 
     /// Reports and applies the requested actions for some seconds; returns all actions.
-    pub fn run(&mut self, seconds: u64) -> Vec<Relief> {
+    pub fn run(&mut self, seconds: u64) -> Vec<Mitigation> {
         let mut all = Vec::new();
         for _ in 0..seconds {
             self.report();
             let now = self.now();
-            for relief in self.placer.relieve(now) {
-                self.apply(&relief);
-                all.push(relief);
+            for mitigation in self.placer.mitigate(now) {
+                self.apply(&mitigation);
+                all.push(mitigation);
             }
         }
         all
     }
 
-    fn apply(&mut self, relief: &Relief) {
-        match relief {
-            Relief::Throttle {
+    fn apply(&mut self, mitigation: &Mitigation) {
+        match mitigation {
+            Mitigation::Throttle {
                 worker,
                 task,
                 share,
@@ -144,10 +144,10 @@
                     *current = *share;
                 }
             }
-            Relief::Evict { worker, task } => {
+            Mitigation::Evict { worker, task } => {
                 let at = self.at(*worker);
                 self.loads[at].runs.retain(|(run, _)| run.task != *task);
-                assert!(self.placer.vacate(*worker, *task));
+                assert!(self.placer.release(*worker, *task));
             }
         }
     }
--- a/testsuite/tests/testsuite/membership/gateway.rs
+++ b/testsuite/tests/testsuite/membership/gateway.rs
@@ -7,7 +7,7 @@
 
 use reqwest::{Method, Response, StatusCode};
 use serde_json::{Value, json};
-use verbenahitch::config::{Current, token_digest};
+use verbenahitch::config::{CurrentDeclarations, token_digest};
 use verbenahitch::gateway::Running;
 use verbenahitch::peer::{Handle, Identity, Node, OwnedShard, Role};
 use verbenahitch::port::SystemClock;
@@ -127,7 +127,13 @@
         let settings = self.settings("owner", &[self.gateways[0].peers()]).peers;
         let token = "peers".to_owned();
         let clock = Arc::new(SystemClock::default());
-        let started = Node::start(identity, &settings, token, Current::default(), clock);
+        let started = Node::start(
+            identity,
+            &settings,
+            token,
+            CurrentDeclarations::default(),
+            clock,
+        );
         let (handle, mut requests) = started.expect("the node starts");
         handle.set_shards(vec![OwnedShard {
             shard: shard.to_owned(),
--- a/testsuite/tests/testsuite/membership/network.rs
+++ b/testsuite/tests/testsuite/membership/network.rs
@@ -13,9 +13,9 @@
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::mpsc;
-use verbenahitch::config::{Current, Declarations, Zone, ZoneState};
+use verbenahitch::config::{CurrentDeclarations, Declarations, Zone, ZoneState};
 use verbenahitch::domain::Monotonic;
-use verbenahitch::peer::{Handle, Identity, Incoming, Member, Node, Role};
+use verbenahitch::peer::{Handle, Identity, IncomingRequest, Member, Node, Role};
 use verbenahitch::port::{Clock, SystemClock};
 use verbenahitch::settings::{PeerSettings, Seed};
 
@@ -29,8 +29,8 @@
     pub(super) name: String,
     pub(super) zone: String,
     pub(super) handle: Handle,
-    pub(super) current: Current,
-    pub(super) requests: mpsc::Receiver<Incoming>,
+    pub(super) current: CurrentDeclarations,
+    pub(super) requests: mpsc::Receiver<IncomingRequest>,
 }
 
 /// All processes of a test and the connections between them.
@@ -104,8 +104,8 @@
             heartbeat_ms: self.heartbeat_ms,
             timeout_ms: 12 * self.heartbeat_ms,
         };
-        let current = Current::default();
-        let (handle, requests) = Node::start_behind(
+        let current = CurrentDeclarations::default();
+        let (handle, requests) = Node::start_on_listener(
             front,
             listener,
             identity,
--- a/testsuite/tests/testsuite/membership/ownership.rs
+++ b/testsuite/tests/testsuite/membership/ownership.rs
@@ -2,7 +2,7 @@
 
 use test_case::test_case;
 use verbenahitch::domain::ShardId;
-use verbenahitch::membership::{Choice, surplus};
+use verbenahitch::membership::{AcquireDecision, shard_to_release};
 use verbenahitch::peer::{Member, OwnedShard, Role};
 
 const TIMEOUT_MS: u64 = 3_000;
@@ -37,23 +37,24 @@
     }
 }
 
-fn choices(shard: &ShardId, members: &[Member]) -> Vec<(String, Choice)> {
-    let choice = |member: &Member| Choice::of(shard, &member.name, members, TIMEOUT_MS);
+fn decisions(shard: &ShardId, members: &[Member]) -> Vec<(String, AcquireDecision)> {
+    let decision = |member: &Member| AcquireDecision::of(shard, &member.name, members, TIMEOUT_MS);
     members
         .iter()
-        .map(|m| (m.name.clone(), choice(m)))
+        .map(|m| (m.name.clone(), decision(m)))
         .collect()
 }
 
 /// Names of the schedulers that would acquire the shard, by increasing delay.
 fn acquisition_order(shard: &ShardId, members: &[Member]) -> Vec<String> {
-    let delays = choices(shard, members)
-        .into_iter()
-        .filter_map(|(name, choice)| match choice {
-            Choice::Now => Some((0, name)),
-            Choice::After(delay) => Some((delay, name)),
-            Choice::No => None,
-        });
+    let delays =
+        decisions(shard, members)
+            .into_iter()
+            .filter_map(|(name, decision)| match decision {
+                AcquireDecision::Now => Some((0, name)),
+                AcquireDecision::After(delay) => Some((delay, name)),
+                AcquireDecision::No => None,
+            });
     let mut delays: Vec<(u64, String)> = delays.collect();
     delays.sort();
     let distinct: std::collections::BTreeSet<u64> = delays.iter().map(|(d, _)| *d).collect();
@@ -76,8 +77,10 @@
 #[test]
 fn exactly_one_scheduler_acquires_a_free_shard_without_delay() {
     for index in 0..64 {
-        let now = choices(&shard("north", index), &zone_of_four());
-        let now = now.iter().filter(|(_, choice)| *choice == Choice::Now);
+        let now = decisions(&shard("north", index), &zone_of_four());
+        let now = now
+            .iter()
+            .filter(|(_, decision)| *decision == AcquireDecision::Now);
         assert_eq!(now.count(), 1);
     }
 }
@@ -87,7 +90,8 @@
     let members = zone_of_four();
     for member in &members {
         let preferred = (0..64).filter(|index| {
-            Choice::of(&shard("north", *index), &member.name, &members, TIMEOUT_MS) == Choice::Now
+            AcquireDecision::of(&shard("north", *index), &member.name, &members, TIMEOUT_MS)
+                == AcquireDecision::Now
         });
         let count = preferred.count();
         assert!(
@@ -133,11 +137,12 @@
         member.role == Role::Scheduler && member.is_live(TIMEOUT_MS) && !member.leaving
     };
     let shard = shard("north", 0);
-    let delay = |member: &&Member| match Choice::of(&shard, &member.name, &members, TIMEOUT_MS) {
-        Choice::Now => Some(0),
-        Choice::After(delay) => Some(delay),
-        Choice::No => None,
-    };
+    let delay =
+        |member: &&Member| match AcquireDecision::of(&shard, &member.name, &members, TIMEOUT_MS) {
+            AcquireDecision::Now => Some(0),
+            AcquireDecision::After(delay) => Some(delay),
+            AcquireDecision::No => None,
+        };
     let able = members.iter().filter(|m| live(m) && m.shards.is_empty());
     let first = able.filter(|m| delay(m).is_some()).min_by_key(delay);
     assert_eq!(first.map(|member| member.name.as_str()), case.first);
@@ -160,6 +165,6 @@
         scheduler("me", "north", case.own_shards),
         scheduler("other", case.other_zone, case.other_shards),
     ];
-    let handed = surplus("me", &members, TIMEOUT_MS);
+    let handed = shard_to_release("me", &members, TIMEOUT_MS);
     assert_eq!(handed.as_deref(), case.handed_over);
 }
--- a/testsuite/tests/testsuite/membership/relay.rs
+++ b/testsuite/tests/testsuite/membership/relay.rs
@@ -11,7 +11,7 @@
 use tokio::task::JoinHandle;
 use verbenahitch::adapter::Store as Client;
 use verbenahitch::config::change::{self, Author};
-use verbenahitch::config::{self, Current, Permit, ZoneState};
+use verbenahitch::config::{self, CurrentDeclarations, Permit, ZoneState};
 use verbenahitch::domain::Monotonic;
 use verbenahitch::peer::Role;
 use verbenahitch::port::SystemClock;
@@ -97,10 +97,10 @@
         }
     }
 
-    fn review_permit(&self, permit: &mut Permit, process: &Process) -> Monotonic {
-        permit.review(
+    fn evaluate_permit(&self, permit: &mut Permit, process: &Process) -> Monotonic {
+        permit.evaluate(
             process.handle.store_contact(),
-            &process.handle.evidence(),
+            &process.handle.store_reports(),
             &process.current.load(),
             &process.zone,
             self.network.now(),
@@ -162,17 +162,17 @@
     let process = &region.processes[0];
     let mut permit = Permit::new(PERMIT_MS);
     wait_until("the permit is given", || {
-        region.review_permit(&mut Permit::new(PERMIT_MS), process) > region.network.now()
+        region.evaluate_permit(&mut Permit::new(PERMIT_MS), process) > region.network.now()
     })
     .await;
-    region.review_permit(&mut permit, process);
+    region.evaluate_permit(&mut permit, process);
     region.cut_store("odd");
     region.network.partition(&[1, 3], &[2, 4]);
     let cut_at = region.network.now();
     // All evidence was requested before the cut and counts from then, so no permit outlasts this.
     let latest = cut_at + PERMIT_MS;
     while region.network.now() <= latest + PERMIT_MS {
-        assert!(region.review_permit(&mut permit, process) <= latest);
+        assert!(region.evaluate_permit(&mut permit, process) <= latest);
         tokio::task::yield_now().await;
     }
     assert!(permit.until() < region.network.now());
@@ -185,7 +185,7 @@
     let cut_at = region.network.now();
     let process = &region.processes[0];
     wait_until("evidence is newer than the cut", || {
-        region.review_permit(&mut Permit::new(PERMIT_MS), process) > cut_at + PERMIT_MS
+        region.evaluate_permit(&mut Permit::new(PERMIT_MS), process) > cut_at + PERMIT_MS
     })
     .await;
     assert!(process.handle.store_contact() <= Some(cut_at));
@@ -198,7 +198,7 @@
     let stopped = region.network.now();
     for process in &region.processes {
         wait_until("evidence is newer than the outage", || {
-            let until = region.review_permit(&mut Permit::new(PERMIT_MS), process);
+            let until = region.evaluate_permit(&mut Permit::new(PERMIT_MS), process);
             until > stopped + 2 * PERMIT_MS
         })
         .await;
@@ -208,7 +208,7 @@
     let cut_at = region.network.now();
     for process in &region.processes {
         wait_until("the permit has lapsed", || {
-            let until = region.review_permit(&mut Permit::new(PERMIT_MS), process);
+            let until = region.evaluate_permit(&mut Permit::new(PERMIT_MS), process);
             until < region.network.now() && region.network.now() > cut_at + PERMIT_MS
         })
         .await;
@@ -228,7 +228,7 @@
     assert_eq!(out.expect("the change is accepted").revision, 2);
     region.wait_for_revision(2).await;
     for process in region.processes.iter().filter(|p| p.zone == "odd") {
-        let until = region.review_permit(&mut Permit::new(PERMIT_MS), process);
+        let until = region.evaluate_permit(&mut Permit::new(PERMIT_MS), process);
         assert!(until <= region.network.now());
     }
 }
@@ -317,7 +317,11 @@
 }
 
 /// Revisions as they came into force, up to `last`.
-async fn observe(mut changes: watch::Receiver<u64>, current: Current, last: u64) -> Vec<u64> {
+async fn observe(
+    mut changes: watch::Receiver<u64>,
+    current: CurrentDeclarations,
+    last: u64,
+) -> Vec<u64> {
     let mut seen = vec![0];
     while seen.last() != Some(&last) {
         changes.changed().await.expect("the process runs");
--- a/testsuite/tests/testsuite/placement/choice.rs
+++ b/testsuite/tests/testsuite/placement/choice.rs
@@ -18,8 +18,8 @@
     let mut large = batch();
     large.resources = Resources::new(12, 1_024);
     tasks.put(&mut placer, all[1], "large", &large);
-    let ask = tasks.ask("work", &batch());
-    assert_eq!(placed(&placer.choose(&ask, NOW)), Some(all[1]));
+    let request = tasks.request("work", &batch());
+    assert_eq!(placed(&placer.choose(&request, NOW)), Some(all[1]));
 }
 
 #[test]
@@ -30,10 +30,10 @@
     let job = tasks.job();
     let mut racks = Vec::new();
     for index in 0..6 {
-        let ask = tasks.ask_of(job, index, "service", &service());
-        let worker = placed(&placer.choose(&ask, NOW)).expect("a worker has room");
-        let resident = tasks.resident(&ask, NOW);
-        placer.occupy(worker, resident).expect("the task fits");
+        let request = tasks.request_of(job, index, "service", &service());
+        let worker = placed(&placer.choose(&request, NOW)).expect("a worker has room");
+        let resident = tasks.resident(&request, NOW);
+        placer.commit(worker, resident).expect("the task fits");
         racks.push(
             all.iter()
                 .position(|key| *key == worker)
@@ -73,8 +73,8 @@
     let mut tasks = Tasks::default();
     let all = workers(&mut placer, 2, Resources::new(16, 65_536));
     tasks.put(&mut placer, all[0], "service", &service());
-    let ask = tasks.ask("heavy", &batch());
-    assert_eq!(placed(&placer.choose(&ask, NOW)), Some(all[1]));
+    let request = tasks.request("heavy", &batch());
+    assert_eq!(placed(&placer.choose(&request, NOW)), Some(all[1]));
 }
 
 #[test]
@@ -82,9 +82,9 @@
     let mut tasks = Tasks::default();
     let heavy = unthrottleable(0.6);
     let (placer, _) = one_service(&mut tasks, &heavy);
-    let ask = tasks.ask("heavy", &heavy);
+    let request = tasks.request("heavy", &heavy);
     assert_eq!(
-        placer.choose(&ask, NOW),
+        placer.choose(&request, NOW),
         Choice::Wait(Reason::TooMuchPressure)
     );
 }
@@ -107,9 +107,9 @@
         ..batch()
     };
     let (placer, worker) = one_service(&mut tasks, &heavy);
-    let ask = tasks.ask("heavy", &heavy);
+    let request = tasks.request("heavy", &heavy);
     let expected = case.admitted.then_some(worker);
-    assert_eq!(placed(&placer.choose(&ask, NOW)), expected);
+    assert_eq!(placed(&placer.choose(&request, NOW)), expected);
 }
 
 #[test]
@@ -126,11 +126,11 @@
     };
     let mut tried = 0;
     for _ in 0..6 {
-        let ask = tasks.ask("other", &other);
-        if let Choice::Place { worker: chosen, .. } = placer.choose(&ask, NOW) {
+        let request = tasks.request("other", &other);
+        if let Choice::Place { worker: chosen, .. } = placer.choose(&request, NOW) {
             assert_eq!(chosen, worker);
-            let resident = tasks.resident(&ask, NOW);
-            placer.occupy(chosen, resident).expect("the task fits");
+            let resident = tasks.resident(&request, NOW);
+            placer.commit(chosen, resident).expect("the task fits");
             tried += 1;
         }
     }
@@ -142,13 +142,13 @@
     let mut tasks = Tasks::default();
     let heavy = unthrottleable(1.0);
     let (placer, worker) = one_service(&mut tasks, &heavy);
-    let mut ask = tasks.ask("heavy", &heavy);
+    let mut request = tasks.request("heavy", &heavy);
     assert_eq!(
-        placer.choose(&ask, NOW),
+        placer.choose(&request, NOW),
         Choice::Wait(Reason::TooMuchPressure)
     );
-    ask.waited_ms = 2 * heavy.deadline_ms;
-    assert_eq!(placed(&placer.choose(&ask, NOW)), Some(worker));
+    request.waited_ms = 2 * heavy.deadline_ms;
+    assert_eq!(placed(&placer.choose(&request, NOW)), Some(worker));
 }
 
 #[test]
@@ -161,24 +161,24 @@
     };
     let (mut placer, worker) = one_service(&mut tasks, &cheap);
     tasks.put(&mut placer, worker, "heavy", &cheap);
-    let ask_of = |tasks: &mut Tasks, placer: &mut Placer, worth: u32| {
+    let request_of = |tasks: &mut Tasks, placer: &mut Placer, worth: u32| {
         let profile = Profile {
             worth,
             ..unthrottleable(0.3)
         };
-        let ask = tasks.ask(&format!("worth-{worth}"), &profile);
+        let request = tasks.request(&format!("worth-{worth}"), &profile);
         let spare = placer.add_worker(Resources::new(16, 65_536), "spare", WorkerState::Closed);
         for _ in 0..4 {
-            tasks.put(placer, spare, &ask.name, &profile);
+            tasks.put(placer, spare, &request.name, &profile);
         }
-        ask
+        request
     };
-    let equal = ask_of(&mut tasks, &mut placer, 1);
+    let equal = request_of(&mut tasks, &mut placer, 1);
     assert_eq!(
         placer.choose(&equal, NOW),
         Choice::Wait(Reason::TooMuchPressure)
     );
-    let valuable = ask_of(&mut tasks, &mut placer, 100);
+    let valuable = request_of(&mut tasks, &mut placer, 100);
     assert_eq!(placed(&placer.choose(&valuable, NOW)), Some(worker));
 }
 
@@ -187,11 +187,11 @@
     let mut placer = Placer::new(3);
     let mut tasks = Tasks::default();
     let all = workers(&mut placer, 2, Resources::new(16, 65_536));
-    let mut ask = tasks.ask("work", &batch());
-    ask.avoid = Some(all[0]);
-    assert_eq!(placed(&placer.choose(&ask, NOW)), Some(all[1]));
+    let mut request = tasks.request("work", &batch());
+    request.avoid = Some(all[0]);
+    assert_eq!(placed(&placer.choose(&request, NOW)), Some(all[1]));
     placer.remove_worker(all[1]);
-    assert_eq!(placed(&placer.choose(&ask, NOW)), Some(all[0]));
+    assert_eq!(placed(&placer.choose(&request, NOW)), Some(all[0]));
 }
 
 #[test]
@@ -200,14 +200,14 @@
     let mut tasks = Tasks::default();
     let all = workers(&mut placer, 4, Resources::new(16, 65_536));
     let declared = declarations("night", Resources::new(8, 65_536), &[("work", &batch())]);
-    placer.declare(Arc::new(declared), 0.5);
+    placer.set_declarations(Arc::new(declared), 0.5);
     let runs: Vec<_> = (0..4)
         .map(|at| tasks.put(&mut placer, all[at], "work", &batch()))
         .collect();
-    let ask = tasks.ask("work", &batch());
-    assert_eq!(placer.choose(&ask, NOW), Choice::Wait(Reason::Quota));
-    placer.vacate(all[0], runs[0].task);
-    assert!(placed(&placer.choose(&ask, NOW)).is_some());
+    let request = tasks.request("work", &batch());
+    assert_eq!(placer.choose(&request, NOW), Choice::Wait(Reason::Quota));
+    placer.release(all[0], runs[0].task);
+    assert!(placed(&placer.choose(&request, NOW)).is_some());
 }
 
 #[test]
@@ -216,8 +216,8 @@
     let mut tasks = Tasks::default();
     let all = workers(&mut placer, 1, Resources::new(1, 1_024));
     tasks.put(&mut placer, all[0], "work", &batch());
-    let ask = tasks.ask("work", &batch());
-    assert_eq!(placer.choose(&ask, NOW), Choice::Wait(Reason::NoRoom));
+    let request = tasks.request("work", &batch());
+    assert_eq!(placer.choose(&request, NOW), Choice::Wait(Reason::NoRoom));
 }
 
 #[test]
@@ -228,6 +228,6 @@
     let large = workers(&mut placer, 1, Resources::new(16, 65_536));
     let mut profile = batch();
     profile.resources = Resources::new(1, 2_048);
-    let ask = tasks.ask("work", &profile);
-    assert_eq!(placed(&placer.choose(&ask, NOW)), Some(large[0]));
+    let request = tasks.request("work", &profile);
+    assert_eq!(placed(&placer.choose(&request, NOW)), Some(large[0]));
 }
--- a/testsuite/tests/testsuite/placement/commitment.rs
+++ b/testsuite/tests/testsuite/placement/commitment.rs
@@ -141,44 +141,44 @@
             service,
         } => {
             let profile = profile_of(cores, gib, accelerators, urgent, service);
-            let ask = tasks.ask("work", &profile);
-            match placer.choose(&ask, now) {
+            let request = tasks.request("work", &profile);
+            match placer.choose(&request, now) {
                 Choice::Place { worker, .. } => {
                     let state = model.states.iter().find(|(key, _)| *key == worker);
                     assert!(state.is_some_and(|(_, state)| *state != WorkerState::Closed));
-                    let resident = tasks.resident(&ask, now);
+                    let resident = tasks.resident(&request, now);
                     placer
-                        .occupy(worker, resident.clone())
+                        .commit(worker, resident.clone())
                         .expect("the chosen worker has room");
                     model.runs.push((worker, resident));
                 }
-                Choice::Evict { worker, victims } => {
-                    placer.evict(&ask, worker, &victims, now);
-                    for victim in victims {
-                        assert!(placer.vacate(worker, victim));
-                        model.runs.retain(|(_, run)| run.task != victim);
+                Choice::Evict { worker, evicted } => {
+                    placer.record_evictions(&request, worker, &evicted, now);
+                    for task in evicted {
+                        assert!(placer.release(worker, task));
+                        model.runs.retain(|(_, run)| run.task != task);
                     }
-                    assert_eq!(placed(&placer.choose(&ask, now)), Some(worker));
+                    assert_eq!(placed(&placer.choose(&request, now)), Some(worker));
                 }
-                Choice::Wait(_) | Choice::Never(_) => {}
+                Choice::Wait(_) | Choice::Infeasible(_) => {}
             }
         }
         Step::Force { worker, cores } => {
-            let ask = tasks.ask("work", &profile_of(cores, 1, 0, false, false));
-            let resident = tasks.resident(&ask, now);
+            let request = tasks.request("work", &profile_of(cores, 1, 0, false, false));
+            let resident = tasks.resident(&request, now);
             let Some((worker, _)) = model.states.get(worker) else {
                 return;
             };
             let fits = resident.resources.fits(placer.free(*worker));
-            assert_eq!(placer.occupy(*worker, resident.clone()).is_ok(), fits);
+            assert_eq!(placer.commit(*worker, resident.clone()).is_ok(), fits);
             if fits {
                 model.runs.push((*worker, resident));
             }
         }
         Step::End(at) if at < model.runs.len() => {
             let (worker, run) = model.runs.swap_remove(at);
-            assert!(placer.vacate(worker, run.task));
-            assert!(!placer.vacate(worker, run.task));
+            assert!(placer.release(worker, run.task));
+            assert!(!placer.release(worker, run.task));
         }
         Step::End(_) => {}
         Step::Resize { worker, cores } => {
@@ -213,19 +213,19 @@
         .map(|_| tasks.put(&mut placer, worker, "work", &batch()))
         .collect();
     placer.resize(worker, Resources::new(2, 8_192));
-    assert!(placer.vacate(worker, runs[0].task));
+    assert!(placer.release(worker, runs[0].task));
     assert_eq!(placer.free(worker).millicores, 0);
-    let ask = tasks.ask("work", &batch());
-    assert_eq!(placed(&placer.choose(&ask, Monotonic(0))), None);
+    let request = tasks.request("work", &batch());
+    assert_eq!(placed(&placer.choose(&request, Monotonic(0))), None);
 }
 
 #[test]
-fn occupying_twice_commits_once() {
+fn a_run_committed_twice_counts_once() {
     let mut placer = Placer::new(1);
     let mut tasks = Tasks::default();
     let worker = placer.add_worker(Resources::new(1, 1_024), "rack", WorkerState::Open);
     let run = tasks.put(&mut placer, worker, "work", &batch());
-    assert!(placer.occupy(worker, run.clone()).is_ok());
-    assert!(placer.vacate(worker, run.task));
+    assert!(placer.commit(worker, run.clone()).is_ok());
+    assert!(placer.release(worker, run.task));
     assert_eq!(placer.free(worker), Resources::new(1, 1_024));
 }
--- a/testsuite/tests/testsuite/placement/fixture.rs
+++ b/testsuite/tests/testsuite/placement/fixture.rs
@@ -8,7 +8,7 @@
 use verbenahitch::domain::{
     Class, Eviction, JobKey, Monotonic, Profile, Resources, TaskKey, WorkerKey,
 };
-use verbenahitch::placement::{Ask, Choice, Placer, Resident, WorkerState};
+use verbenahitch::placement::{Choice, PlacementRequest, Placer, Resident, WorkerState};
 
 /// A batch profile of one core and 1 GiB.
 pub fn batch() -> Profile {
@@ -68,9 +68,9 @@
 
 impl Tasks {
     /// The only task of a new job.
-    pub fn ask(&mut self, name: &str, profile: &Profile) -> Ask {
+    pub fn request(&mut self, name: &str, profile: &Profile) -> PlacementRequest {
         let job = self.jobs.insert(());
-        self.ask_of(job, 0, name, profile)
+        self.request_of(job, 0, name, profile)
     }
 
     /// A new job.
@@ -79,8 +79,14 @@
     }
 
     /// A task of a job.
-    pub fn ask_of(&mut self, job: JobKey, index: u32, name: &str, profile: &Profile) -> Ask {
-        Ask {
+    pub fn request_of(
+        &mut self,
+        job: JobKey,
+        index: u32,
+        name: &str,
+        profile: &Profile,
+    ) -> PlacementRequest {
+        PlacementRequest {
             task: TaskKey { job, index },
             name: Arc::from(name),
             profile: Arc::new(profile.clone()),
@@ -89,15 +95,15 @@
         }
     }
 
-    /// A run of the task in `ask`, with its declared resources.
-    pub fn resident(&mut self, ask: &Ask, since: Monotonic) -> Resident {
+    /// A run of the task in `request`, with its declared resources.
+    pub fn resident(&mut self, request: &PlacementRequest, since: Monotonic) -> Resident {
         self.run += 1;
         Resident {
-            task: ask.task,
+            task: request.task,
             run: self.run,
-            name: Arc::clone(&ask.name),
-            profile: Arc::clone(&ask.profile),
-            resources: ask.profile.resources,
+            name: Arc::clone(&request.name),
+            profile: Arc::clone(&request.profile),
+            resources: request.profile.resources,
             since,
         }
     }
@@ -110,10 +116,10 @@
         name: &str,
         profile: &Profile,
     ) -> Resident {
-        let ask = self.ask(name, profile);
-        let resident = self.resident(&ask, Monotonic(0));
+        let request = self.request(name, profile);
+        let resident = self.resident(&request, Monotonic(0));
         placer
-            .occupy(worker, resident.clone())
+            .commit(worker, resident.clone())
             .expect("the task fits");
         resident
     }
--- a/testsuite/tests/testsuite/placement/infeasible.rs
+++ b/testsuite/tests/testsuite/placement/infeasible.rs
@@ -27,19 +27,19 @@
     profile.resources = case.need;
     if case.need.millicores == 30_000 {
         let declared = declarations("night", Resources::new(24, 1 << 20), &[]);
-        placer.declare(Arc::new(declared), 1.0);
+        placer.set_declarations(Arc::new(declared), 1.0);
     }
-    let ask = Tasks::default().ask("work", &profile);
-    match (placer.choose(&ask, Monotonic(0)), case.reason) {
-        (Choice::Never(found), Some(reason)) => assert!(found.contains(reason), "{found}"),
-        (Choice::Never(found), None) => panic!("{found}"),
+    let request = Tasks::default().request("work", &profile);
+    match (placer.choose(&request, Monotonic(0)), case.reason) {
+        (Choice::Infeasible(found), Some(reason)) => assert!(found.contains(reason), "{found}"),
+        (Choice::Infeasible(found), None) => panic!("{found}"),
         (other, reason) => assert_eq!(reason, None, "{other:?}"),
     }
 }
 
 #[test]
 fn without_any_worker_a_task_waits() {
-    let ask = Tasks::default().ask("work", &batch());
-    let choice = Placer::new(1).choose(&ask, Monotonic(0));
+    let request = Tasks::default().request("work", &batch());
+    let choice = Placer::new(1).choose(&request, Monotonic(0));
     assert!(matches!(choice, Choice::Wait(_)));
 }
--- a/testsuite/tests/testsuite/placement/quarantine.rs
+++ b/testsuite/tests/testsuite/placement/quarantine.rs
@@ -24,14 +24,14 @@
     let mut starts = Vec::new();
     for second in 0..100 {
         let now = Monotonic(1_000 * second);
-        let ask = tasks.ask("work", &batch());
-        let choice = placer.choose(&ask, now);
+        let request = tasks.request("work", &batch());
+        let choice = placer.choose(&request, now);
         if is_probe(&choice) {
-            let resident = tasks.resident(&ask, now);
-            placer.occupy(worker, resident).expect("the task fits");
-            let other = tasks.ask("work", &batch());
+            let resident = tasks.resident(&request, now);
+            placer.commit(worker, resident).expect("the task fits");
+            let other = tasks.request("work", &batch());
             assert_eq!(placer.choose(&other, now), Choice::Wait(Reason::NoRoom));
-            placer.vacate(worker, ask.task);
+            placer.release(worker, request.task);
             starts.push(second);
         }
     }
@@ -43,10 +43,10 @@
     let mut placer = Placer::new(1);
     let mut tasks = Tasks::default();
     let worker = placer.add_worker(Resources::new(16, 65_536), "a", WorkerState::Quarantined);
-    let ask = tasks.ask("work", &service());
-    assert_eq!(placed(&placer.choose(&ask, Monotonic(0))), None);
+    let request = tasks.request("work", &service());
+    assert_eq!(placed(&placer.choose(&request, Monotonic(0))), None);
     placer.set_state(worker, WorkerState::Open);
-    assert_eq!(placed(&placer.choose(&ask, Monotonic(0))), Some(worker));
+    assert_eq!(placed(&placer.choose(&request, Monotonic(0))), Some(worker));
 }
 
 #[test_case(Profile { class: Class::LatencyCritical, ..batch() }; "latency critical")]
@@ -55,6 +55,6 @@
 fn not_used_as_probe(profile: Profile) {
     let mut placer = Placer::new(1);
     placer.add_worker(Resources::new(16, 65_536), "a", WorkerState::Quarantined);
-    let ask = Tasks::default().ask("work", &profile);
-    assert_eq!(placed(&placer.choose(&ask, Monotonic(0))), None);
+    let request = Tasks::default().request("work", &profile);
+    assert_eq!(placed(&placer.choose(&request, Monotonic(0))), None);
 }
--- a/testsuite/tests/testsuite/placement/queue.rs
+++ b/testsuite/tests/testsuite/placement/queue.rs
@@ -3,19 +3,23 @@
 use std::sync::Arc;
 
 use verbenahitch::domain::{Monotonic, Profile, Resources};
-use verbenahitch::placement::{Offer, Placer, Queue};
+use verbenahitch::placement::{OfferResult, Placer, Queue};
 
 use super::fixture::{Tasks, batch, declarations, workers};
 
-/// Profile names of the first `count` offered tasks, which are taken; the others are declined.
+/// Profile names of the first `count` offered tasks, which are placed; the others are declined.
 fn order(queue: &mut Queue, placer: &mut Placer, now: Monotonic, count: usize) -> Vec<String> {
     let mut names = Vec::new();
-    queue.drain(placer, now, |_, ask| {
-        let taken = names.len() < count;
-        if taken {
-            names.push(ask.name.to_string());
+    queue.offer_all(placer, now, |_, request| {
+        let placed = names.len() < count;
+        if placed {
+            names.push(request.name.to_string());
+        }
+        if placed {
+            OfferResult::Placed
+        } else {
+            OfferResult::Declined
         }
-        if taken { Offer::Taken } else { Offer::Declined }
     });
     names
 }
@@ -49,7 +53,7 @@
         ),
     ];
     for (name, profile) in &profiles {
-        queue.push(tasks.ask(name, profile), Monotonic(0));
+        queue.push(tasks.request(name, profile), Monotonic(0));
     }
     let mut placer = Placer::new(1);
     let names = order(&mut queue, &mut placer, Monotonic(0), 9);
@@ -63,7 +67,7 @@
     let mut placer = Placer::new(1);
     let mut queue = Queue::new();
     queue.push(
-        tasks.ask(
+        tasks.request(
             "low",
             &Profile {
                 worth: 1,
@@ -78,8 +82,8 @@
     };
     let reached = (0..10_000u64).find(|minute| {
         let now = Monotonic(60_000 * minute);
-        queue.push(tasks.ask("high", &high), now);
-        queue.push(tasks.ask("high", &high), now);
+        queue.push(tasks.request("high", &high), now);
+        queue.push(tasks.request("high", &high), now);
         let names = order(&mut queue, &mut placer, now, 1);
         names == ["low"]
     });
@@ -102,11 +106,11 @@
     let mut declared = declarations("one", Resources::new(4, 65_536), &[]);
     let other = declarations("two", Resources::new(4, 65_536), &[]);
     declared.teams.extend(other.teams);
-    placer.declare(Arc::new(declared), 1.0);
+    placer.set_declarations(Arc::new(declared), 1.0);
     tasks.put(&mut placer, all[0], "one", &one);
     let mut queue = Queue::new();
-    queue.push(tasks.ask("one", &one), Monotonic(0));
-    queue.push(tasks.ask("two", &two), Monotonic(0));
+    queue.push(tasks.request("one", &one), Monotonic(0));
+    queue.push(tasks.request("two", &two), Monotonic(0));
     assert_eq!(
         order(&mut queue, &mut placer, Monotonic(0), 9),
         ["two", "one"]
@@ -118,22 +122,28 @@
     let mut tasks = Tasks::default();
     let mut placer = Placer::new(1);
     let mut queue = Queue::new();
-    let asks: Vec<_> = (0..3).map(|_| tasks.ask("work", &batch())).collect();
-    for ask in &asks {
-        queue.push(ask.clone(), Monotonic(0));
-        queue.push(ask.clone(), Monotonic(5));
+    let requests: Vec<_> = (0..3).map(|_| tasks.request("work", &batch())).collect();
+    for request in &requests {
+        queue.push(request.clone(), Monotonic(0));
+        queue.push(request.clone(), Monotonic(5));
     }
-    assert!(queue.withdraw(asks[1].task));
-    assert!(!queue.withdraw(asks[1].task));
+    assert!(queue.withdraw(requests[1].task));
+    assert!(!queue.withdraw(requests[1].task));
     assert_eq!(queue.len(), 2);
-    queue.push(asks[1].clone(), Monotonic(0));
+    queue.push(requests[1].clone(), Monotonic(0));
     let mut offered = Vec::new();
-    queue.drain(&mut placer, Monotonic(9), |_, ask| {
-        offered.push(ask.task);
-        Offer::Taken
+    queue.offer_all(&mut placer, Monotonic(9), |_, request| {
+        offered.push(request.task);
+        OfferResult::Placed
     });
     offered.sort();
-    assert_eq!(offered, asks.iter().map(|ask| ask.task).collect::<Vec<_>>());
+    assert_eq!(
+        offered,
+        requests
+            .iter()
+            .map(|request| request.task)
+            .collect::<Vec<_>>()
+    );
 }
 
 #[test]
@@ -142,7 +152,7 @@
     let mut placer = Placer::new(1);
     let mut queue = Queue::new();
     queue.push(
-        tasks.ask(
+        tasks.request(
             "large",
             &Profile {
                 worth: 1_000,
@@ -151,33 +161,40 @@
         ),
         Monotonic(0),
     );
-    queue.push(tasks.ask("small", &batch()), Monotonic(0));
+    queue.push(tasks.request("small", &batch()), Monotonic(0));
     let mut placed = Vec::new();
-    queue.drain(&mut placer, Monotonic(0), |_, ask| {
-        if &*ask.name != "small" {
-            return Offer::Declined;
+    queue.offer_all(&mut placer, Monotonic(0), |_, request| {
+        if &*request.name != "small" {
+            return OfferResult::Declined;
         }
-        placed.push(ask.task);
-        Offer::Taken
+        placed.push(request.task);
+        OfferResult::Placed
     });
     assert_eq!((placed.len(), queue.len()), (1, 1));
 }
 
 #[test]
-fn the_next_task_of_a_profile_is_offered_after_a_promise() {
+fn the_next_task_of_a_profile_is_offered_after_a_reservation() {
     let mut tasks = Tasks::default();
     let mut placer = Placer::new(1);
     let mut queue = Queue::new();
-    let asks: Vec<_> = (0..3).map(|_| tasks.ask("urgent", &batch())).collect();
-    for ask in &asks {
-        queue.push(ask.clone(), Monotonic(0));
+    let requests: Vec<_> = (0..3).map(|_| tasks.request("urgent", &batch())).collect();
+    for request in &requests {
+        queue.push(request.clone(), Monotonic(0));
     }
     let mut offered = Vec::new();
-    queue.drain(&mut placer, Monotonic(0), |_, ask| {
-        offered.push(ask.task);
-        let last = ask.task == asks[2].task;
-        if last { Offer::Taken } else { Offer::Promised }
+    queue.offer_all(&mut placer, Monotonic(0), |_, request| {
+        offered.push(request.task);
+        let last = request.task == requests[2].task;
+        if last {
+            OfferResult::Placed
+        } else {
+            OfferResult::Reserved
+        }
     });
-    assert_eq!(offered, [asks[0].task, asks[1].task, asks[2].task]);
+    assert_eq!(
+        offered,
+        [requests[0].task, requests[1].task, requests[2].task]
+    );
     assert_eq!(queue.len(), 2);
 }
--- a/testsuite/tests/testsuite/placement/sizes.rs
+++ b/testsuite/tests/testsuite/placement/sizes.rs
@@ -35,7 +35,7 @@
         };
         placer.observe(all[0], &usage, Monotonic(1_000 * second));
     }
-    assert_eq!(placer.size("work", &batch()), case.size);
+    assert_eq!(placer.predicted_size("work", &batch()), case.size);
     assert_eq!(placer.free(all[0]), Resources::new(15, 64_512));
 }
 
@@ -47,11 +47,11 @@
     let mut second = 0;
     let mut sizes = Vec::new();
     for _ in 0..12 {
-        let ask = tasks.ask("work", &batch());
-        let mut run = tasks.resident(&ask, Monotonic(1_000 * second));
-        run.resources = placer.size("work", &batch());
+        let request = tasks.request("work", &batch());
+        let mut run = tasks.resident(&request, Monotonic(1_000 * second));
+        run.resources = placer.predicted_size("work", &batch());
         let used = run.resources.millicores.min(2_000);
-        placer.occupy(worker, run.clone()).expect("the task fits");
+        placer.commit(worker, run.clone()).expect("the task fits");
         for _ in 0..30 {
             second += 1;
             let task = TaskUsage {
@@ -66,7 +66,7 @@
             };
             placer.observe(worker, &usage, Monotonic(1_000 * second));
         }
-        placer.vacate(worker, run.task);
+        placer.release(worker, run.task);
         sizes.push(run.resources.millicores);
     }
     assert!(sizes.iter().all(|size| *size <= 2_500), "{sizes:?}");
--- a/testsuite/tests/testsuite/placement/urgent.rs
+++ b/testsuite/tests/testsuite/placement/urgent.rs
@@ -21,13 +21,13 @@
     workers: [&'static [(u32, u64)]; 2],
     need: u64,
     /// Expected worker, and worths of its tasks to evict.
-    victims: (usize, &'static [u32]),
+    evicted: (usize, &'static [u32]),
 }
 
-#[test_case(Case { workers: [&[(5, 4)], &[(3, 4)]], need: 1, victims: (1, &[3]) }; "the worker with the least worth")]
-#[test_case(Case { workers: [&[(9, 2), (1, 2)], &[(4, 4)]], need: 2, victims: (0, &[1]) }; "the task of least worth on a worker")]
-#[test_case(Case { workers: [&[(1, 1), (2, 2), (9, 1)], &[(4, 4)]], need: 2, victims: (0, &[2]) }; "no task whose eviction is not needed")]
-#[test_case(Case { workers: [&[(2, 2), (2, 2)], &[(3, 4)]], need: 4, victims: (1, &[3]) }; "least sum of several tasks")]
+#[test_case(Case { workers: [&[(5, 4)], &[(3, 4)]], need: 1, evicted: (1, &[3]) }; "the worker with the least worth")]
+#[test_case(Case { workers: [&[(9, 2), (1, 2)], &[(4, 4)]], need: 2, evicted: (0, &[1]) }; "the task of least worth on a worker")]
+#[test_case(Case { workers: [&[(1, 1), (2, 2), (9, 1)], &[(4, 4)]], need: 2, evicted: (0, &[2]) }; "no task whose eviction is not needed")]
+#[test_case(Case { workers: [&[(2, 2), (2, 2)], &[(3, 4)]], need: 4, evicted: (1, &[3]) }; "least sum of several tasks")]
 fn evicts_the_least_worth(case: Case) {
     let mut placer = Placer::new(5);
     let mut tasks = Tasks::default();
@@ -43,18 +43,18 @@
             tasks.put(&mut placer, all[at], &format!("worth-{worth}"), &profile);
         }
     }
-    let ask = tasks.ask("urgent", &urgent(case.need));
-    let Choice::Evict { worker, victims } = placer.choose(&ask, NOW) else {
+    let request = tasks.request("urgent", &urgent(case.need));
+    let Choice::Evict { worker, evicted } = placer.choose(&request, NOW) else {
         panic!("expected an eviction");
     };
     let worths: Vec<u32> = placer
         .residents(worker)
-        .filter(|resident| victims.contains(&resident.task))
+        .filter(|resident| evicted.contains(&resident.task))
         .map(|resident| resident.profile.worth)
         .collect();
     assert_eq!(
         (worker, worths.as_slice()),
-        (all[case.victims.0], case.victims.1)
+        (all[case.evicted.0], case.evicted.1)
     );
 }
 
@@ -67,8 +67,8 @@
     let mut tasks = Tasks::default();
     let all = workers(&mut placer, 1, Resources::new(1, 65_536));
     tasks.put(&mut placer, all[0], "resident", &profile);
-    let ask = tasks.ask("urgent", &urgent(1));
-    assert_eq!(placer.choose(&ask, NOW), Choice::Wait(Reason::NoRoom));
+    let request = tasks.request("urgent", &urgent(1));
+    assert_eq!(placer.choose(&request, NOW), Choice::Wait(Reason::NoRoom));
 }
 
 #[test]
@@ -85,14 +85,14 @@
             ..batch()
         },
     );
-    let ask = tasks.ask(
+    let request = tasks.request(
         "other",
         &Profile {
             worth: 1_000,
             ..batch()
         },
     );
-    assert_eq!(placer.choose(&ask, NOW), Choice::Wait(Reason::NoRoom));
+    assert_eq!(placer.choose(&request, NOW), Choice::Wait(Reason::NoRoom));
 }
 
 #[test]
@@ -101,31 +101,31 @@
     let mut tasks = Tasks::default();
     let all = workers(&mut placer, 1, Resources::new(2, 65_536));
     let runs = [(); 2].map(|()| tasks.put(&mut placer, all[0], "work", &batch()));
-    let first = tasks.ask("urgent", &urgent(1));
-    let Choice::Evict { worker, victims } = placer.choose(&first, NOW) else {
+    let first = tasks.request("urgent", &urgent(1));
+    let Choice::Evict { worker, evicted } = placer.choose(&first, NOW) else {
         panic!("expected an eviction");
     };
-    placer.evict(&first, worker, &victims, NOW);
+    placer.record_evictions(&first, worker, &evicted, NOW);
     assert_eq!(placer.choose(&first, NOW), Choice::Wait(Reason::Promised));
-    let second = tasks.ask("urgent", &urgent(1));
+    let second = tasks.request("urgent", &urgent(1));
     let Choice::Evict {
-        victims: others, ..
+        evicted: others, ..
     } = placer.choose(&second, NOW)
     else {
         panic!("expected an eviction for the second task");
     };
-    assert_ne!(victims, others);
-    let victim = runs
+    assert_ne!(evicted, others);
+    let run = runs
         .iter()
-        .find(|run| victims.contains(&run.task))
-        .expect("the victim is one of the runs");
-    placer.vacate(worker, victim.task);
-    let batch_ask = tasks.ask("work", &batch());
-    assert_eq!(placed(&placer.choose(&batch_ask, NOW)), None);
+        .find(|run| evicted.contains(&run.task))
+        .expect("the run is one of the runs");
+    placer.release(worker, run.task);
+    let batch_request = tasks.request("work", &batch());
+    assert_eq!(placed(&placer.choose(&batch_request, NOW)), None);
     assert_eq!(placed(&placer.choose(&first, NOW)), Some(worker));
-    assert!(placer.relieve(Monotonic(60_000)).is_empty());
+    assert!(placer.mitigate(Monotonic(60_000)).is_empty());
     assert_eq!(
-        placed(&placer.choose(&batch_ask, Monotonic(60_000))),
+        placed(&placer.choose(&batch_request, Monotonic(60_000))),
         Some(worker)
     );
 }
@@ -148,10 +148,10 @@
             ..batch()
         },
     );
-    let ask = tasks.ask("urgent", &urgent(1));
-    placer.evict(&ask, all[0], &[run.task], NOW);
-    placer.relieve(Monotonic(60_000));
-    let other = tasks.ask("urgent", &urgent(1));
+    let request = tasks.request("urgent", &urgent(1));
+    placer.record_evictions(&request, all[0], &[run.task], NOW);
+    placer.mitigate(Monotonic(60_000));
+    let other = tasks.request("urgent", &urgent(1));
     assert_eq!(
         placer.choose(&other, Monotonic(60_000)),
         Choice::Wait(Reason::NoRoom)
--- a/testsuite/tests/testsuite/scheduler/common.rs
+++ b/testsuite/tests/testsuite/scheduler/common.rs
@@ -15,10 +15,10 @@
     JobId::new("market", key)
 }
 
-/// Simulation with three workers whose shard is owned and settled.
+/// Simulation with three workers whose shard is owned and recovered.
 pub fn world() -> World {
     let mut world = World::new(SEED, 3);
-    assert!(world.run_while(TIMEOUT_MS, |world| !world.owners[0].shard.is_settled()));
+    assert!(world.run_while(TIMEOUT_MS, |world| !world.owners[0].shard.is_recovered()));
     world
 }
 
--- a/testsuite/tests/testsuite/scheduler/daemon.rs
+++ b/testsuite/tests/testsuite/scheduler/daemon.rs
@@ -69,7 +69,7 @@
             return self.continue_without_store(owner);
         }
         self.feed(owner, Input::Declared(Arc::clone(&self.declared)));
-        if self.declared.is_in(ZONE) {
+        if self.declared.is_in_service(ZONE) {
             self.feed(owner, Input::Permit(Monotonic(self.now + PERMIT_MS)));
         }
         match self.owners[owner].epoch {
@@ -94,7 +94,7 @@
         }
         let until = Monotonic(self.owners[owner].renewed_at + OUTAGE_MS);
         self.feed(owner, Input::Authority(until));
-        if self.store.down && self.declared.is_in(ZONE) {
+        if self.store.down && self.declared.is_in_service(ZONE) {
             self.feed(owner, Input::Permit(Monotonic(self.now + PERMIT_MS)));
         }
     }
@@ -126,9 +126,9 @@
             return;
         }
         self.owners[owner].is_releasing = false;
-        let settled = self.owners[owner].shard.is_settled();
+        let recovered = self.owners[owner].shard.is_recovered();
         if let Some(epoch) = self.owners[owner].epoch.take() {
-            self.store.release(owner, epoch, settled);
+            self.store.release(owner, epoch, recovered);
             self.feed(owner, Input::Lost);
         }
     }
--- a/testsuite/tests/testsuite/scheduler/fake_store.rs
+++ b/testsuite/tests/testsuite/scheduler/fake_store.rs
@@ -34,7 +34,7 @@
 
 impl FakeStore {
     /// Locks the shard if it is free; returns the epoch and whether the last holder released the
-    /// lock after it had settled.
+    /// lock after it had recovered.
     pub fn acquire(&mut self, owner: usize, now: Millis, lease_ms: Millis) -> Option<(u64, bool)> {
         let free = self.holder.is_none() || now >= self.lease_end;
         if self.down || !free {
@@ -58,10 +58,10 @@
     }
 
     /// Releases the lock.
-    pub fn release(&mut self, owner: usize, epoch: u64, settled: bool) {
+    pub fn release(&mut self, owner: usize, epoch: u64, recovered: bool) {
         if self.is_held(owner, epoch) {
             self.holder = None;
-            self.released = settled;
+            self.released = recovered;
         }
     }
 
--- a/testsuite/tests/testsuite/scheduler/session.rs
+++ b/testsuite/tests/testsuite/scheduler/session.rs
@@ -13,7 +13,7 @@
 #[test]
 fn a_session_from_submission_to_end() {
     let mut world = World::new(SEED, 2);
-    assert!(world.run_while(TIMEOUT_MS, |world| !world.owners[0].shard.is_settled()));
+    assert!(world.run_while(TIMEOUT_MS, |world| !world.owners[0].shard.is_recovered()));
     let id = JobId::new("market", "overnight");
     world.submit(0, &id, spec("settlement", 2, 5_000));
     assert!(world.run_while(TIMEOUT_MS, |world| world.history.start_count() < 2));
--- a/testsuite/tests/testsuite/scheduler/world.rs
+++ b/testsuite/tests/testsuite/scheduler/world.rs
@@ -191,7 +191,7 @@
     pub fn send_request(&mut self, owner: usize, body: Request) -> u64 {
         self.next_request += 1;
         let request = self.next_request;
-        let input = Input::Asked {
+        let input = Input::Requested {
             request,
             body,
             wall_ms: self.now,
@@ -349,7 +349,7 @@
                 self.answers.insert(request, body);
             }
             Action::Log(entry) => self.entries.push(entry),
-            Action::StandDown => self.owners[owner].epoch = None,
+            Action::Superseded => self.owners[owner].epoch = None,
         }
     }
 
--- a/testsuite/tests/testsuite/settings/declared.rs
+++ b/testsuite/tests/testsuite/settings/declared.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use test_case::test_case;
-use verbenahitch::config::{Current, Declarations, diff, token_digest};
+use verbenahitch::config::{CurrentDeclarations, Declarations, diff, token_digest};
 use verbenahitch::settings::{SettingsError, parse_declarations};
 
 fn document(profile: &str, extra: &str) -> String {
@@ -63,7 +63,9 @@
     assert_eq!(kind("/pass-quote/1"), Some("pass-quote"));
     assert_eq!(kind("/pass-quote/priced/1"), Some("priced"));
     assert_eq!(kind("/pass-quotes"), None);
-    assert!(declared.is_in("a") && !declared.is_in("b") && !declared.is_in("c"));
+    assert!(
+        declared.is_in_service("a") && !declared.is_in_service("b") && !declared.is_in_service("c")
+    );
     let shards: Vec<String> = declared.shards().map(|shard| shard.to_string()).collect();
     assert_eq!(shards, ["a-0", "b-0", "b-1"]);
 }
@@ -110,7 +112,7 @@
 
 #[test]
 fn older_or_equal_revision_is_not_put_in_force() {
-    let current = Current::default();
+    let current = CurrentDeclarations::default();
     let revision = |revision| {
         Arc::new(Declarations {
             revision,
--- a/testsuite/tests/testsuite/standin/fault.rs
+++ b/testsuite/tests/testsuite/standin/fault.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use test_case::test_case;
-use verbenahitch::adapter::{Store as Client, Workers};
+use verbenahitch::adapter::{Store as Client, WorkerClient};
 use verbenahitch::domain::{Class, JobId, Resources, TaskId};
 use verbenahitch::port::{Command, StoreError, SyncError, SyncRequest};
 use verbenahitch_standin::fault::Fault;
@@ -164,13 +164,13 @@
     let worker = &platform.workers()[0];
     worker.control_faults().apply(Fault::Lose { answers: 1 });
     let address = worker.record().control;
-    let lost = Workers::new(SHORT_MS).sync(&address, &sync(1)).await;
+    let lost = WorkerClient::new(SHORT_MS).sync(&address, &sync(1)).await;
     assert!(
         matches!(lost, Err(SyncError::Unanswered { .. })),
         "{lost:?}"
     );
     assert_eq!(worker.history().runs.len(), 1);
-    let reply = Workers::new(LONG_MS)
+    let reply = WorkerClient::new(LONG_MS)
         .sync(&address, &sync(2))
         .await
         .unwrap();
@@ -217,7 +217,7 @@
     );
     let address = platform.workers()[0].record().control;
     assert!(
-        Workers::new(SHORT_MS)
+        WorkerClient::new(SHORT_MS)
             .sync(&address, &sync(1))
             .await
             .is_err()
--- a/testsuite/tests/testsuite/standin/store.rs
+++ b/testsuite/tests/testsuite/standin/store.rs
@@ -4,7 +4,7 @@
 
 use test_case::test_case;
 use verbenahitch::adapter::Store as Client;
-use verbenahitch::port::{ManualClock, Op, StoreError, Txn};
+use verbenahitch::port::{ManualClock, Op, StoreError, TxnOutcome};
 use verbenahitch_standin::store::{Limits, Settings, Store};
 
 const TIMEOUT_MS: u64 = 5_000;
@@ -36,15 +36,15 @@
 async fn changes_of_one_transaction_share_its_index() {
     let (_store, client) = start().await;
     let outcome = client.transact(&[set("a"), set("b"), set("c")]).await;
-    let Ok(Txn::Committed { index }) = outcome else {
+    let Ok(TxnOutcome::Committed { index }) = outcome else {
         panic!("unexpected outcome: {outcome:?}");
     };
     for key in ["a", "b", "c"] {
         let entry = client.get(key).await.unwrap().unwrap();
-        assert_eq!(entry.modify, index, "index of {key}");
+        assert_eq!(entry.modify_index, index, "index of {key}");
     }
     let next = client.transact(&[set("a")]).await;
-    assert_eq!(next, Ok(Txn::Committed { index: index + 1 }));
+    assert_eq!(next, Ok(TxnOutcome::Committed { index: index + 1 }));
 }
 
 #[tokio::test]
@@ -56,13 +56,13 @@
     assert_eq!(first.value, b"1");
     assert!(
         client
-            .cas("a/b", b"3".to_vec(), first.modify)
+            .cas("a/b", b"3".to_vec(), first.modify_index)
             .await
             .unwrap()
     );
     assert!(
         !client
-            .cas("a/b", b"4".to_vec(), first.modify)
+            .cas("a/b", b"4".to_vec(), first.modify_index)
             .await
             .unwrap()
     );
@@ -108,7 +108,7 @@
     );
     let held = client.get("owner").await.unwrap().unwrap();
     assert_eq!(
-        (held.lock, held.session.as_deref()),
+        (held.lock_index, held.session.as_deref()),
         (1, Some(first.as_str()))
     );
     assert!(
@@ -131,12 +131,12 @@
     );
     let held = client.get("owner").await.unwrap().unwrap();
     assert_eq!(
-        (held.lock, held.session.as_deref()),
+        (held.lock_index, held.session.as_deref()),
         (2, Some(second.as_str()))
     );
     client.destroy_session(&second).await.unwrap();
     let freed = client.get("owner").await.unwrap().unwrap();
-    assert_eq!((freed.lock, freed.session), (2, None));
+    assert_eq!((freed.lock_index, freed.session), (2, None));
 }
 
 #[tokio::test]
@@ -174,7 +174,7 @@
     assert!(client.cas("doc", b"1".to_vec(), 0).await.unwrap());
     let changed = watch.await.unwrap().unwrap();
     assert_eq!(changed.entries[0].value, b"1");
-    assert_eq!(changed.index, changed.entries[0].modify);
+    assert_eq!(changed.index, changed.entries[0].modify_index);
     let calls = store.calls();
     assert_eq!((calls.reads, calls.watches, calls.writes), (1, 1, 2));
 }
@@ -184,8 +184,11 @@
     let (_store, client) = start().await;
     assert!(client.cas("doc", b"1".to_vec(), 0).await.unwrap());
     let entry = client.get("doc").await.unwrap().unwrap();
-    let same = client.watch("doc", entry.modify, 20).await.unwrap();
-    assert_eq!((same.index, same.entries), (entry.modify, vec![entry]));
+    let same = client.watch("doc", entry.modify_index, 20).await.unwrap();
+    assert_eq!(
+        (same.index, same.entries),
+        (entry.modify_index, vec![entry])
+    );
 }
 
 struct Transaction {
@@ -206,21 +209,21 @@
     let session = client.create_session("one", TTL_MS).await.unwrap();
     assert!(client.acquire("owner", Vec::new(), &session).await.unwrap());
     assert!(client.cas("doc", b"old".to_vec(), 0).await.unwrap());
-    let index = client.get("doc").await.unwrap().unwrap().modify;
+    let index = client.get("doc").await.unwrap().unwrap().modify_index;
     let outcome = client.transact(&(case.ops)(index, &session)).await.unwrap();
     if case.failed.is_empty() {
-        assert!(matches!(outcome, Txn::Committed { index: at } if at >= index));
+        assert!(matches!(outcome, TxnOutcome::Committed { index: at } if at >= index));
         return;
     }
     let failed = case.failed.to_vec();
-    assert_eq!(outcome, Txn::Conflict { failed });
+    assert_eq!(outcome, TxnOutcome::Conflict { failed });
     assert_eq!(store.keys(""), ["doc", "owner"]);
     let doc = client.get("doc").await.unwrap().unwrap();
-    assert_eq!((doc.value, doc.modify), (b"old".to_vec(), index));
+    assert_eq!((doc.value, doc.modify_index), (b"old".to_vec(), index));
     // The next change takes the index that the refused one would have had.
     assert!(client.cas("next", Vec::new(), 0).await.unwrap());
     let next = client.get("next").await.unwrap().unwrap();
-    assert_eq!(next.modify, index + 1);
+    assert_eq!(next.modify_index, index + 1);
 }
 
 #[tokio::test]
--- a/testsuite/tests/testsuite/standin/worker.rs
+++ b/testsuite/tests/testsuite/standin/worker.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use test_case::test_case;
-use verbenahitch::adapter::Workers;
+use verbenahitch::adapter::WorkerClient;
 use verbenahitch::domain::{Class, JobId, Resources, TaskId};
 use verbenahitch::port::{
     Clock as _, Command, EndKind, ManualClock, SyncError, SyncReply, SyncRequest,
@@ -16,7 +16,7 @@
 struct Bench {
     worker: Worker,
     clock: Arc<ManualClock>,
-    client: Workers,
+    client: WorkerClient,
     address: String,
 }
 
@@ -32,7 +32,7 @@
         Self {
             worker,
             clock,
-            client: Workers::new(5_000),
+            client: WorkerClient::new(5_000),
             address,
         }
     }
--- a/testsuite/tests/testsuite/standin/zones.rs
+++ b/testsuite/tests/testsuite/standin/zones.rs
@@ -1,6 +1,6 @@
 //! Availability zones that are cut off from each other and from the platform.
 
-use verbenahitch::adapter::{HostList, Store, Workers};
+use verbenahitch::adapter::{HostList, Store, WorkerClient};
 use verbenahitch::port::{HostRecord, SyncRequest};
 use verbenahitch_standin::platform::{Parts, Platform};
 use verbenahitch_standin::worker::Settings;
@@ -46,7 +46,7 @@
         commands: Vec::new(),
         acked: Vec::new(),
     };
-    let workers = Workers::new(timeout_ms);
+    let workers = WorkerClient::new(timeout_ms);
     workers.sync(&worker.control, &request).await.is_ok()
 }
 
