--- a/crates/verbenahitch/src/gateway/operators/routes.rs
+++ b/crates/verbenahitch/src/gateway/operators/routes.rs
@@ -31,8 +31,6 @@
     state: ZoneState,
 }
 
-type ZoneChange = Order;
-
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Submission {
@@ -103,7 +101,7 @@
     context: &State<Arc<ApiContext>>,
     body: Data<'_>,
 ) -> Reply<Confirmed> {
-    let request: ZoneChange = parse(&read_body(context, body).await?)?;
+    let request: Order = parse(&read_body(context, body).await?)?;
     let author = author(operator);
     let what = match request.state {
         ZoneState::In => format!("zone {zone} in"),
--- a/crates/verbenahitch/src/scheduler/shard/params.rs
+++ b/crates/verbenahitch/src/scheduler/shard/params.rs
@@ -10,17 +10,17 @@
     pub shard: ShardId,
     /// Name of this process.
     pub owner: String,
-    /// Time between two syncs with a worker for which nothing is queued, in milliseconds.
+    /// Interval between two syncs with a worker for which nothing is queued, in milliseconds.
     pub sync_ms: Millis,
-    /// Time limit of a sync, in milliseconds.
+    /// Timeout of a sync, in milliseconds.
     pub sync_timeout_ms: Millis,
-    /// Lease of a task on its worker, in milliseconds.
+    /// Length of the lease of a task on its worker, in milliseconds.
     pub task_lease_ms: Millis,
     /// Time for which an owner may act while the store cannot be reached, in milliseconds.
     pub outage_ms: Millis,
-    /// Least time between two commits, in milliseconds.
+    /// Minimum interval between two commits, in milliseconds.
     pub commit_ms: Millis,
-    /// Number of tasks of a profile that are marked ahead of their start.
+    /// Number of queued tasks per profile that are marked as startable in advance.
     pub mark_ahead: usize,
     /// Time for which a finished job is kept for queries, in milliseconds.
     pub retention_ms: Millis,
--- a/crates/verbenahitch/src/settings/schema.rs
+++ b/crates/verbenahitch/src/settings/schema.rs
@@ -109,7 +109,7 @@
     /// Maximum number of upstreams that this gateway keeps connections to.
     #[serde(default = "default_subset")]
     pub subset: usize,
-    /// Maximum number of retries per hundred first attempts.
+    /// Retries after failed attempts, per hundred requests.
     #[serde(default = "default_retry_percent")]
     pub retry_percent: u32,
     /// Maximum time without progress on an upstream's connection, in milliseconds.
@@ -155,7 +155,7 @@
     /// Minimum interval between two commits of a shard, in milliseconds.
     #[serde(default = "default_commit")]
     pub commit_ms: Millis,
-    /// Number of queued tasks of a shard that are marked as startable in advance.
+    /// Number of queued tasks per profile and shard that are marked as startable in advance.
     #[serde(default = "default_mark_ahead")]
     pub mark_ahead: usize,
     /// Time for which the state of a finished job can be queried, in milliseconds.
