--- a/crates/standin/src/command/load.rs
+++ b/crates/standin/src/command/load.rs
@@ -1,4 +1,4 @@
-//! Subcommand that drives gateways.
+//! Subcommand that sends load to gateways.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,7 +12,7 @@
 use super::{CommandError, DeclarationsSnafu};
 use crate::load::{self, KindPlan, Plan};
 
-/// What to send, and where.
+/// Options of a load.
 #[derive(Clone, Debug, Bpaf)]
 pub struct Options {
     /// Callers' address of a gateway; may be given several times.
@@ -21,22 +21,22 @@
     /// Declarations whose request kinds are sent.
     #[bpaf(argument("FILE"))]
     declarations: PathBuf,
-    /// Calls a second.
+    /// Calls per second.
     #[bpaf(argument("N"), fallback(100.0))]
     rate: f64,
-    /// Most calls in progress.
+    /// Maximum number of calls in progress.
     #[bpaf(argument("N"), fallback(256))]
     concurrency: usize,
-    /// Most calls.
+    /// Maximum number of calls.
     #[bpaf(argument("N"), fallback(100_000))]
     count: u64,
-    /// Longest time in which calls are sent, in seconds.
+    /// Maximum duration of the load, in seconds.
     #[bpaf(argument("S"), fallback(10))]
     seconds: u64,
-    /// Time limit of a call, in milliseconds.
+    /// Timeout of a call, in milliseconds.
     #[bpaf(argument("MS"), fallback(10_000))]
     timeout_ms: Millis,
-    /// Seed of the instants and the kinds.
+    /// Seed of the arrival times and the kinds.
     #[bpaf(argument("N"), fallback(1))]
     seed: u64,
     /// Prints JSON instead of a table.
@@ -60,7 +60,7 @@
     let report = load::run(&plan).await;
     if options.json {
         let text = serde_json::to_string_pretty(&report);
-        println!("{}", text.expect("a report has a JSON form"));
+        println!("{}", text.expect("a report serializes to JSON"));
     } else {
         print!("{report}");
     }
--- a/crates/standin/src/command/measure.rs
+++ b/crates/standin/src/command/measure.rs
@@ -1,4 +1,4 @@
-//! Subcommand that measures what a role costs.
+//! Subcommand that measures the resources that a role uses.
 
 use std::fmt::Display;
 use std::path::PathBuf;
@@ -12,7 +12,7 @@
 use super::{CommandError, MeasureSnafu};
 use crate::measure::{self, Experiment};
 
-/// What to measure.
+/// Options of a measurement.
 #[derive(Clone, Debug, Bpaf)]
 pub struct Options {
     /// What is varied: workers, starts or requests; or takeover, which kills the owner.
@@ -24,7 +24,7 @@
     /// Sizes, separated by commas.
     #[bpaf(argument("N,N,N"))]
     sizes: Sizes,
-    /// Time of each measurement, in seconds.
+    /// Duration of each measurement, in seconds.
     #[bpaf(argument("S"), fallback(10))]
     seconds: u64,
     /// Prints JSON instead of a table.
@@ -50,7 +50,7 @@
             "requests" => Ok(Self::Cost(Experiment::Requests)),
             "takeover" => Ok(Self::Takeover),
             _ => Err(format!(
-                "found {text:?}, allowed are workers, starts, requests and takeover"
+                "found {text:?}, expected workers, starts, requests or takeover"
             )),
         }
     }
@@ -61,13 +61,13 @@
 
     fn from_str(text: &str) -> Result<Self, String> {
         let sizes: Result<Vec<u32>, _> = text.split(',').map(str::parse).collect();
-        let sizes = sizes.map_err(|error| format!("found {text:?}: {error}"))?;
+        let sizes = sizes.map_err(|error| format!("found {text:?}, expected N,N,N: {error}"))?;
         Ok(Self(sizes))
     }
 }
 
 pub(super) async fn run(options: Options) -> Result<ExitCode, CommandError> {
-    let mut what = measure::Options {
+    let mut measurement = measure::Options {
         experiment: Experiment::Workers,
         program: options.program,
         sizes: options.sizes.0,
@@ -75,12 +75,14 @@
     };
     match options.vary {
         Vary::Cost(experiment) => {
-            what.experiment = experiment;
-            let report = measure::run(&what).await.context(MeasureSnafu)?;
+            measurement.experiment = experiment;
+            let report = measure::run(&measurement).await.context(MeasureSnafu)?;
             print(&report, options.json);
         }
         Vary::Takeover => {
-            let report = measure::take_over(&what).await.context(MeasureSnafu)?;
+            let report = measure::run_takeovers(&measurement)
+                .await
+                .context(MeasureSnafu)?;
             print(&report, options.json);
         }
     }
@@ -90,7 +92,7 @@
 fn print(report: &(impl Display + Serialize), json: bool) {
     if json {
         let text = serde_json::to_string_pretty(report);
-        println!("{}", text.expect("a report has a JSON form"));
+        println!("{}", text.expect("a report serializes to JSON"));
     } else {
         print!("{report}");
     }
--- a/crates/standin/src/command/mod.rs
+++ b/crates/standin/src/command/mod.rs
@@ -27,17 +27,17 @@
 pub enum Arguments {
     /// Runs a whole deployment in one process and prints a report.
     ///
-    /// Exits with 1 if a promise was broken or a kind of request was never served.
+    /// Exits with 1 if a guarantee was violated or a kind of request was never served.
     #[bpaf(command)]
     Demo(#[bpaf(external(demo::options))] demo::Options),
-    /// Sends the request kinds of a deployment and prints what came back.
+    /// Sends the request kinds of a deployment and prints the results.
     ///
-    /// Exits with 1 if an answer was not whole or belonged to another call.
+    /// Exits with 1 if an answer was incomplete or belonged to another call.
     #[bpaf(command)]
     Load(#[bpaf(external(load::options))] load::Options),
-    /// Measures what a role costs, and how the cost grows with a size.
+    /// Measures the resources that a role uses, and how they grow with a size.
     ///
-    /// Nothing else should use the machine or its loopback interface meanwhile.
+    /// Nothing else should use the machine or its loopback interface at the same time.
     #[bpaf(command)]
     Measure(#[bpaf(external(measure::options))] measure::Options),
     /// Serves stand-ins.
@@ -56,10 +56,10 @@
         /// Address of the control port.
         #[bpaf(argument("IP:PORT"), fallback(loopback()))]
         control: SocketAddr,
-        /// Reads that the store takes a second; 0 for no limit.
+        /// Limit of the store's reads per second; 0 for no limit.
         #[bpaf(argument("N"), fallback(2_000))]
         reads: u32,
-        /// Writes that the store takes a second; 0 for no limit.
+        /// Limit of the store's writes per second; 0 for no limit.
         #[bpaf(argument("N"), fallback(400))]
         writes: u32,
     },
@@ -72,7 +72,7 @@
         /// Address of the control port, where workers are added.
         #[bpaf(argument("IP:PORT"), fallback(loopback()))]
         control: SocketAddr,
-        /// Time before a change shows, in milliseconds.
+        /// Delay before a change of the list is visible, in milliseconds.
         #[bpaf(argument("MS"), fallback(0))]
         lag_ms: Millis,
     },
@@ -85,11 +85,11 @@
         /// Address of the control port.
         #[bpaf(argument("IP:PORT"), fallback(loopback()))]
         control: SocketAddr,
-        /// Seed of the workers' draws.
+        /// Seed of the workers' random values.
         #[bpaf(argument("N"), fallback(1))]
         seed: u64,
     },
-    /// Serves store, list and the workers of a pool.
+    /// Serves the store, the list of workers and the workers of a pool.
     #[bpaf(command)]
     Platform {
         /// Pool of workers, JSON with comments.
@@ -104,13 +104,13 @@
         /// Address of the list of workers.
         #[bpaf(argument("IP:PORT"), fallback(loopback()))]
         hosts: SocketAddr,
-        /// Time before a change of the list shows, in milliseconds.
+        /// Delay before a change of the list is visible, in milliseconds.
         #[bpaf(argument("MS"), fallback(500))]
         lag_ms: Millis,
-        /// Seed of the workers' draws.
+        /// Seed of the workers' random values.
         #[bpaf(argument("N"), fallback(1))]
         seed: u64,
-        /// Opens addresses for the callers of each availability zone, which can then be cut off.
+        /// Opens separate addresses for each availability zone, so that the zone can be cut off.
         zone_addresses: bool,
     },
 }
@@ -137,17 +137,17 @@
     result.unwrap_or_else(|error| fail(&error))
 }
 
-/// Why a subcommand failed.
+/// Error of a subcommand.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 enum CommandError {
-    /// The pool cannot be used.
+    /// The pool is invalid or cannot be read.
     #[snafu(display("{source}"))]
     Pool { source: PoolError },
-    /// The declarations cannot be used.
+    /// The declarations are invalid or cannot be read.
     #[snafu(display("{source}"))]
     Declarations { source: SettingsError },
-    /// The demo did not run.
+    /// The demo did not complete.
     #[snafu(display("{source}"))]
     Demo { source: DemoError },
     /// The experiment failed.
--- a/crates/standin/src/command/serve.rs
+++ b/crates/standin/src/command/serve.rs
@@ -16,13 +16,13 @@
     let parts = parts(serving)?;
     let platform = Platform::start(parts).await.context(StartSnafu)?;
     let line = serde_json::to_string(&platform.addresses());
-    println!("{}", line.expect("addresses have a JSON form"));
-    wait().await;
+    println!("{}", line.expect("addresses serialize to JSON"));
+    wait_for_stdin_end().await;
     Ok(ExitCode::SUCCESS)
 }
 
 fn parts(serving: Serving) -> Result<Parts, CommandError> {
-    let none = |control| Parts {
+    let control_only = |control| Parts {
         control,
         store: None,
         hosts: None,
@@ -42,7 +42,7 @@
             };
             Parts {
                 store: Some((address, settings)),
-                ..none(control)
+                ..control_only(control)
             }
         }
         Serving::Hosts {
@@ -50,16 +50,16 @@
             control,
             lag_ms,
         } => Parts {
-            hosts: Some(list(address, lag_ms)),
-            ..none(control)
+            hosts: Some(host_list(address, lag_ms)),
+            ..control_only(control)
         },
         Serving::Workers {
             pool,
             control,
             seed,
         } => Parts {
-            workers: workers(&pool, seed)?,
-            ..none(control)
+            workers: worker_settings(&pool, seed)?,
+            ..control_only(control)
         },
         Serving::Platform {
             pool,
@@ -74,7 +74,7 @@
             Parts {
                 control,
                 store: Some((store, store::Settings::default())),
-                hosts: Some(list(hosts, lag_ms)),
+                hosts: Some(host_list(hosts, lag_ms)),
                 workers: pool.settings(seed),
                 zones: if zone_addresses {
                     pool.zones
@@ -86,7 +86,7 @@
     })
 }
 
-fn list(address: SocketAddr, lag_ms: u64) -> (SocketAddr, hosts::Settings) {
+fn host_list(address: SocketAddr, lag_ms: u64) -> (SocketAddr, hosts::Settings) {
     let settings = hosts::Settings {
         lag_ms,
         ..hosts::Settings::default()
@@ -94,13 +94,16 @@
     (address, settings)
 }
 
-fn workers(file: &std::path::Path, seed: u64) -> Result<Vec<worker::Settings>, CommandError> {
+fn worker_settings(
+    file: &std::path::Path,
+    seed: u64,
+) -> Result<Vec<worker::Settings>, CommandError> {
     let pool = Pool::load(file).context(PoolSnafu)?;
     Ok(pool.settings(seed))
 }
 
-/// Waits until standard input ends, so that no stand-in outlives who started it.
-async fn wait() {
+/// Waits until standard input closes, so that a stand-in ends with the process that started it.
+async fn wait_for_stdin_end() {
     let mut input = tokio::io::stdin();
     let mut buffer = [0; 64];
     while input.read(&mut buffer).await.is_ok_and(|read| read > 0) {}
--- a/crates/standin/src/demo/deployment.rs
+++ b/crates/standin/src/demo/deployment.rs
@@ -1,4 +1,4 @@
-//! The deployments that the demo knows.
+//! Deployments that the demo can run.
 
 use std::fmt;
 use std::path::Path;
@@ -12,7 +12,7 @@
 use super::traffic::Traffic;
 use crate::platform::{Pool, parse_fixture};
 
-/// A deployment.
+/// Deployment that the demo runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Deployment {
     /// Chikugo Shelf Label Pricing Cluster.
@@ -22,7 +22,7 @@
 }
 
 impl Deployment {
-    /// Short name.
+    /// Name in arguments, paths and call IDs.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Chikugo => "chikugo",
@@ -78,7 +78,7 @@
 
     fn from_str(text: &str) -> Result<Self, String> {
         let all = [Self::Chikugo, Self::Kilele];
-        let named = all.into_iter().find(|deployment| deployment.name() == text);
-        named.ok_or_else(|| format!("found {text:?}, allowed are chikugo and kilele"))
+        let matching = all.into_iter().find(|deployment| deployment.name() == text);
+        matching.ok_or_else(|| format!("found {text:?}, expected chikugo or kilele"))
     }
 }
--- a/crates/standin/src/demo/entry.rs
+++ b/crates/standin/src/demo/entry.rs
@@ -15,48 +15,51 @@
 };
 use crate::platform::Platform;
 
-/// Folder of tokens, removed when dropped.
-pub(super) struct Folder {
+/// Directory of token files, removed when dropped.
+pub(super) struct TokenDirectory {
     path: PathBuf,
 }
 
-impl Folder {
-    /// Creates a folder with the tokens of peers, operators and the teams of
-    /// `declarations`, which get the teams' digests.
+impl TokenDirectory {
+    /// Creates token files for peers, operators and the teams of `declarations`,
+    /// and sets the teams' digests in `declarations`.
     pub(super) fn create(declarations: &mut Declarations) -> Result<Self, DemoError> {
         let name = format!("verbenahitch-demo-{}", std::process::id());
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&path).context(WriteSnafu { path: &path })?;
-        let folder = Self { path };
-        folder.token("peers")?;
-        folder.token("operator")?;
+        let directory = Self { path };
+        directory.create_token("peers")?;
+        directory.create_token("operator")?;
         for (name, team) in &mut declarations.teams {
-            team.token_digest = token_digest(&folder.token(name)?);
+            team.token_digest = token_digest(&directory.create_token(name)?);
         }
-        Ok(folder)
+        Ok(directory)
     }
 
-    pub(super) fn file(&self, name: &str) -> PathBuf {
+    pub(super) fn token_file(&self, name: &str) -> PathBuf {
         self.path.join(name)
     }
 
-    fn token(&self, name: &str) -> Result<String, DemoError> {
+    fn create_token(&self, name: &str) -> Result<String, DemoError> {
         let token = format!("{:032x}", rand::rng().random::<u128>());
-        let path = self.file(name);
+        let path = self.token_file(name);
         std::fs::write(&path, &token).context(WriteSnafu { path })?;
         Ok(token)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TokenDirectory {
     fn drop(&mut self) {
         if let Err(error) = std::fs::remove_dir_all(&self.path) {
-            log::warn!("{}: {error}", self.path.display());
+            log::warn!(
+                "{}: cannot remove the token directory: {error}",
+                self.path.display()
+            );
         }
     }
 }
 
-/// Running daemons of one entry host.
+/// Gateway and scheduler of one entry host.
 pub(super) struct EntryHost {
     pub(super) zone: String,
     gateway: gateway::Running,
@@ -81,13 +84,13 @@
         self.gateway.callers()
     }
 
-    /// Client of its operators' interface with the token in `file`.
+    /// Client of the operators' interface that uses the token in `file`.
     pub(super) fn client(&self, file: &Path) -> Result<Client, DemoError> {
         Client::new(self.gateway.operators(), Some(file)).context(OperatorSnafu)
     }
 
-    /// Whether its gateway has the declarations in force.
-    pub(super) fn is_declared(&self) -> bool {
+    /// Whether the gateway has declarations in force.
+    pub(super) fn has_declarations(&self) -> bool {
         self.gateway.current().load().revision > 0
     }
 
@@ -98,11 +101,11 @@
     }
 }
 
-/// Settings of an entry host in each of `zones`, on loopback addresses of their own.
+/// Settings of one entry host for each item of `zones`, each on its own loopback address.
 pub(super) fn settings(
     zones: &[&str],
     platform: &Platform,
-    folder: &Folder,
+    tokens: &TokenDirectory,
 ) -> Result<Vec<Settings>, DemoError> {
     let network = std::process::id() % 16_000;
     let ip = |host: usize| {
@@ -116,7 +119,7 @@
         })
         .collect();
     let each = zones.iter().enumerate().map(|(host, zone)| {
-        let at = |port| SocketAddr::new(ip(host), port);
+        let address = |port| SocketAddr::new(ip(host), port);
         let settings = serde_json::json!({
             "name": format!("entry-{zone}{host}"),
             "zone": zone,
@@ -124,15 +127,15 @@
                 "store": platform.store().address(),
                 "hosts": platform.hosts().address(),
             },
-            "peers": { "token-file": folder.file("peers"), "seeds": seeds },
+            "peers": { "token-file": tokens.token_file("peers"), "seeds": seeds },
             "gateway": {
-                "callers": at(8_000),
-                "operators": at(8_001),
-                "metrics": at(8_002),
-                "peers": at(7_001),
+                "callers": address(8_000),
+                "operators": address(8_001),
+                "metrics": address(8_002),
+                "peers": address(7_001),
             },
-            "scheduler": { "metrics": at(8_003), "peers": at(SCHEDULER_PORT) },
-            "operators": [{ "name": "demo", "token-file": folder.file("operator") }],
+            "scheduler": { "metrics": address(8_003), "peers": address(SCHEDULER_PORT) },
+            "operators": [{ "name": "demo", "token-file": tokens.token_file("operator") }],
         });
         parse_settings("demo", &settings.to_string()).context(DeclarationsSnafu)
     });
--- a/crates/standin/src/demo/error.rs
+++ b/crates/standin/src/demo/error.rs
@@ -1,4 +1,4 @@
-//! Why a demo could not run.
+//! Errors of the demo.
 
 use std::path::PathBuf;
 
@@ -10,11 +10,11 @@
 
 use crate::platform::{PlatformError, PoolError};
 
-/// Why a demo could not run.
+/// Error that ends a demo without a report.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum DemoError {
-    /// A token or the log cannot be written.
+    /// A token file or the log file cannot be written.
     #[snafu(display("{}: {source}", path.display()))]
     Write {
         /// File.
@@ -22,13 +22,13 @@
         /// Cause.
         source: std::io::Error,
     },
-    /// The example's declarations have faults.
+    /// The deployment's declarations, or the settings of an entry host, are invalid.
     #[snafu(display("{source}"))]
     Declarations {
         /// Cause.
         source: SettingsError,
     },
-    /// A fixture has a fault.
+    /// A fixture is invalid.
     #[snafu(display("{source}"))]
     Fixture {
         /// Cause.
@@ -52,16 +52,16 @@
         /// Cause.
         source: DaemonError,
     },
-    /// The operators' interface refused a call or gave no answer.
+    /// The operators' interface refused a call or did not answer.
     #[snafu(display("operators' interface: {source}"))]
     Operator {
         /// Cause.
         source: ClientError,
     },
-    /// Something did not happen in time.
-    #[snafu(display("not in time: {what}"))]
-    Late {
-        /// What was waited for.
+    /// A condition was not met before the deadline.
+    #[snafu(display("timed out waiting until {what}"))]
+    Timeout {
+        /// Condition.
         what: String,
     },
 }
--- a/crates/standin/src/demo/events.rs
+++ b/crates/standin/src/demo/events.rs
@@ -1,4 +1,4 @@
-//! Log events of the daemons, counted as they come.
+//! Counters of the daemons' log events.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -13,24 +13,24 @@
 use super::error::{DemoError, WriteSnafu};
 use super::operator::wall_ms;
 
-/// Target of the daemons' events.
+/// Log target of the daemons' events.
 const TARGET: &str = "event";
 
-/// What the daemons logged so far.
+/// Events that the daemons have logged so far.
 #[derive(Debug, Default)]
 pub(super) struct Events {
-    seen: Mutex<Seen>,
+    state: Mutex<State>,
 }
 
 #[derive(Debug, Default)]
-struct Seen {
+struct State {
     counts: BTreeMap<String, u64>,
     pressure: BTreeMap<(String, String), f64>,
     file: Option<File>,
 }
 
 impl Events {
-    /// Takes the place of the process's logger; one that is set already stays.
+    /// Installs itself as the process's logger, unless one is already set.
     pub(super) fn install() -> &'static Self {
         static EVENTS: OnceLock<Events> = OnceLock::new();
         let events = EVENTS.get_or_init(Self::default);
@@ -40,55 +40,55 @@
         events
     }
 
-    /// Appends every event to a new file as well.
+    /// Creates the file and also writes every following event to it.
     pub(super) fn write_to(&self, path: &Path) -> Result<(), DemoError> {
         let file = File::create(path).context(WriteSnafu { path })?;
-        self.seen().file = Some(file);
+        self.state().file = Some(file);
         Ok(())
     }
 
     /// Number of events by name.
     pub(super) fn counts(&self) -> BTreeMap<String, u64> {
-        self.seen().counts.clone()
+        self.state().counts.clone()
     }
 
-    /// Largest slowdown of one profile by another, the strongest first.
+    /// Source, victim and largest slowdown of each pair of profiles, in descending order.
     pub(super) fn pressure(&self) -> Vec<(String, String, f64)> {
-        let seen = self.seen();
-        let pairs = seen.pressure.iter();
+        let state = self.state();
+        let pairs = state.pressure.iter();
         let pairs =
             pairs.map(|((source, victim), slowdown)| (source.clone(), victim.clone(), *slowdown));
         let mut pairs: Vec<_> = pairs.collect();
-        pairs.sort_by(|one, other| other.2.total_cmp(&one.2));
+        pairs.sort_by(|a, b| b.2.total_cmp(&a.2));
         pairs
     }
 
-    fn note(&self, event: &Value) {
+    fn record(&self, event: &Value) {
         let text = |key: &str| event.get(key).and_then(Value::as_str).map(str::to_owned);
         let Some(name) = text("name") else {
             return;
         };
-        let mut seen = self.seen();
-        if let Some(file) = &mut seen.file
+        let mut state = self.state();
+        if let Some(file) = &mut state.file
             && let Err(error) = writeln!(file, r#"{{"time":{},"entry":{event}}}"#, wall_ms())
         {
-            eprintln!("the log cannot be written: {error}");
-            seen.file = None;
+            eprintln!("cannot write to the log file; events are no longer written: {error}");
+            state.file = None;
         }
         if name == "pressure" {
             let pair = text("source").zip(text("victim"));
             let percent = event.get("slowdown-percent").and_then(Value::as_f64);
             let slowdown = percent.map(|percent| percent / 100.0);
             if let Some((pair, slowdown)) = pair.zip(slowdown) {
-                let largest = seen.pressure.entry(pair).or_insert(slowdown);
+                let largest = state.pressure.entry(pair).or_insert(slowdown);
                 *largest = largest.max(slowdown);
             }
         }
-        *seen.counts.entry(name).or_default() += 1;
+        *state.counts.entry(name).or_default() += 1;
     }
 
-    fn seen(&self) -> MutexGuard<'_, Seen> {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -102,7 +102,7 @@
             return;
         }
         if let Ok(event) = serde_json::from_str(&record.args().to_string()) {
-            self.note(&event);
+            self.record(&event);
         }
     }
 
--- a/crates/standin/src/demo/failures.rs
+++ b/crates/standin/src/demo/failures.rs
@@ -1,4 +1,4 @@
-//! Workers that fail during a demo.
+//! Worker crashes during a demo.
 
 use std::time::{Duration, Instant};
 
@@ -10,8 +10,8 @@
 use crate::platform::Platform;
 use crate::worker::Worker;
 
-/// Crashes `count` workers outside of `zone`, one after the other over `duration`.
-pub(super) async fn crash(
+/// Crashes `count` workers outside of `zone`, at equal intervals over `duration`.
+pub(super) async fn crash_workers(
     platform: &Platform,
     count: usize,
     zone: &str,
@@ -20,12 +20,12 @@
     duration: Duration,
 ) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let others = platform.workers().iter();
-    let others: Vec<&Worker> = others.filter(|worker| worker.zone() != zone).collect();
-    let parts = u32::try_from(count + 1).unwrap_or(u32::MAX);
+    let candidates = platform.workers().iter();
+    let candidates: Vec<&Worker> = candidates.filter(|worker| worker.zone() != zone).collect();
+    let intervals = u32::try_from(count + 1).unwrap_or(u32::MAX);
     let mut due = started;
-    for worker in others.choose_multiple(&mut rng, count) {
-        due += duration / parts;
+    for worker in candidates.choose_multiple(&mut rng, count) {
+        due += duration / intervals;
         tokio::time::sleep_until(due.into()).await;
         worker.crash();
         platform.hosts().set_state(worker.name(), HostState::Dead);
--- a/crates/standin/src/demo/jobs.rs
+++ b/crates/standin/src/demo/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs of the teams, from submission to their ends.
+//! Jobs of the teams: submission, cancellation and final state.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,10 +12,10 @@
 use super::report::JobReport;
 use super::traffic::JobPlan;
 
-/// Time between two tries of a submission or a question, in milliseconds.
-const RETRY_MS: Millis = 250;
+/// Interval between attempts to submit a job and between status queries, in milliseconds.
+const RETRY_INTERVAL_MS: Millis = 250;
 
-/// A job that is to be submitted.
+/// Job to submit.
 #[derive(Clone, Debug)]
 pub(super) struct Job {
     plan: JobPlan,
@@ -25,7 +25,7 @@
 }
 
 impl Job {
-    /// All jobs of `plans`; `client` gives each its team's client.
+    /// All jobs of `plans`; `client` returns the client for a team and the job's number.
     pub(super) fn all(
         plans: &[JobPlan],
         duration_ms: Millis,
@@ -45,8 +45,9 @@
         jobs
     }
 
-    /// Submits the job when it is due, until it is accepted or refused for good.
-    async fn submit(&self, started: Instant, patience: Instant) -> bool {
+    /// Submits the job when it is due, and retries until it is accepted, it is
+    /// refused with a status below 500, or `deadline` passes.
+    async fn submit(&self, started: Instant, deadline: Instant) -> bool {
         tokio::time::sleep(self.due.saturating_sub(started.elapsed())).await;
         let spec = JobSpec {
             profile: self.plan.profile.clone(),
@@ -54,7 +55,7 @@
             run_ms: self.plan.run_ms,
             payload: String::new(),
         };
-        while Instant::now() < patience {
+        while Instant::now() < deadline {
             match self.client.submit(&self.key, &spec).await {
                 Ok(_) => return true,
                 Err(ClientError::Refused { status, .. }) if status < 500 => return false,
@@ -64,13 +65,13 @@
         false
     }
 
-    /// Waits until all tasks have ended; returns how the job stood last.
-    async fn end(&self, patience: Instant) -> Value {
+    /// Waits until all tasks have ended or `deadline` passes; returns the job's last status.
+    async fn wait_for_end(&self, deadline: Instant) -> Value {
         let id = format!("{}.{}", self.plan.team, self.key);
         let mut status = Value::Null;
-        while Instant::now() < patience {
+        while Instant::now() < deadline {
             if self.plan.cancelled {
-                // A repeat changes nothing.
+                // Cancelling is idempotent.
                 self.client.cancel(&id).await.ok();
             }
             if let Ok(answer) = self.client.job(&id).await {
@@ -85,13 +86,13 @@
     }
 }
 
-/// Submits all jobs; returns those that were accepted, and the others' number by profile.
-pub(super) async fn submit(
+/// Submits all jobs; returns those that were accepted, and the numbers of jobs by profile.
+pub(super) async fn submit_all(
     jobs: Vec<Job>,
     started: Instant,
-    patience: Instant,
+    deadline: Instant,
 ) -> (Vec<Job>, BTreeMap<String, JobReport>) {
-    let accepted = join_all(jobs.iter().map(|job| job.submit(started, patience))).await;
+    let accepted = join_all(jobs.iter().map(|job| job.submit(started, deadline))).await;
     let mut reports: BTreeMap<String, JobReport> = BTreeMap::new();
     for (job, accepted) in jobs.iter().zip(&accepted) {
         let report = reports.entry(job.plan.profile.clone()).or_default();
@@ -99,18 +100,18 @@
         report.tasks += u64::from(job.plan.tasks);
         report.not_accepted += u64::from(!accepted);
     }
-    let kept = jobs.into_iter().zip(accepted);
-    let kept = kept.filter(|(_, accepted)| *accepted);
-    (kept.map(|(job, _)| job).collect(), reports)
+    let submitted = jobs.into_iter().zip(accepted);
+    let submitted = submitted.filter(|(_, accepted)| *accepted);
+    (submitted.map(|(job, _)| job).collect(), reports)
 }
 
-/// Waits for the ends of all jobs and adds them to `reports`.
-pub(super) async fn finish(
+/// Waits until all jobs have ended and adds their task counts to `reports`.
+pub(super) async fn wait_for_ends(
     jobs: &[Job],
-    patience: Instant,
+    deadline: Instant,
     reports: &mut BTreeMap<String, JobReport>,
 ) {
-    let ends = join_all(jobs.iter().map(|job| job.end(patience))).await;
+    let ends = join_all(jobs.iter().map(|job| job.wait_for_end(deadline))).await;
     for (job, status) in jobs.iter().zip(ends) {
         let report = reports.entry(job.plan.profile.clone()).or_default();
         report.done += count(&status, "done");
@@ -131,5 +132,5 @@
 }
 
 async fn pause() {
-    tokio::time::sleep(Duration::from_millis(RETRY_MS)).await;
+    tokio::time::sleep(Duration::from_millis(RETRY_INTERVAL_MS)).await;
 }
--- a/crates/standin/src/demo/mod.rs
+++ b/crates/standin/src/demo/mod.rs
@@ -1,9 +1,9 @@
-//! A whole deployment in one process: stand-ins, and the real gateways and
-//! schedulers of seven entry hosts over loopback sockets.
+//! Demo of a whole deployment in one process: stand-ins, and the real gateways
+//! and schedulers of seven entry hosts over loopback sockets.
 //!
 //! Callers send the deployment's request kinds, teams submit its jobs, and
-//! operators take an availability zone out and bring it back. In the end the
-//! workers' and callers' histories are held against the promises.
+//! operators take an availability zone out and bring it back. At the end the
+//! histories of workers and callers are checked against the guarantees.
 
 mod deployment;
 mod entry;
--- a/crates/standin/src/demo/operator.rs
+++ b/crates/standin/src/demo/operator.rs
@@ -1,5 +1,5 @@
-//! The operator of the demo: applies the declarations, takes a zone out and
-//! brings it back.
+//! Operator calls of the demo: applies the declarations, takes an availability
+//! zone out and brings it back.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -13,31 +13,31 @@
 use super::report::ZoneReport;
 use crate::history::Outage;
 
-/// Time between two looks at a condition, in milliseconds.
-const LOOK_MS: Millis = 50;
+/// Interval between checks of a condition, in milliseconds.
+const POLL_INTERVAL_MS: Millis = 50;
 
-/// Applies the first declarations; tries again until the schedulers are up.
-pub(super) async fn declare(
+/// Applies the first declarations; retries until the schedulers are up.
+pub(super) async fn apply_declarations(
     client: &Client,
     declarations: &Declarations,
-    patience: Instant,
+    deadline: Instant,
 ) -> Result<(), DemoError> {
     loop {
         match client.apply(declarations, 0).await {
             Ok(_) => return Ok(()),
-            Err(source) if Instant::now() > patience => {
+            Err(source) if Instant::now() > deadline => {
                 return Err(DemoError::Operator { source });
             }
-            Err(_) => look().await,
+            Err(_) => pause().await,
         }
     }
 }
 
 /// Waits until every shard of `declarations` has an owner.
-pub(super) async fn owned(
+pub(super) async fn wait_for_owners(
     client: &Client,
     declarations: &Declarations,
-    patience: Instant,
+    deadline: Instant,
 ) -> Result<(), DemoError> {
     let shards = declarations.shards().count();
     let owned = async || {
@@ -45,11 +45,11 @@
         let owned = status.get("shards").and_then(Value::as_array);
         owned.map_or(0, Vec::len) >= shards
     };
-    until("every shard has an owner", patience, owned).await
+    wait_until("every shard has an owner", deadline, owned).await
 }
 
-/// Takes `zone` out and brings it back at the given instants.
-pub(super) async fn out_and_back(
+/// Takes `zone` out at `out` and brings it back at `back`.
+pub(super) async fn run_outage(
     client: &Client,
     zone: &str,
     out: Instant,
@@ -88,23 +88,23 @@
 }
 
 /// Waits until `condition` holds.
-pub(super) async fn until(
+pub(super) async fn wait_until(
     what: &str,
-    patience: Instant,
+    deadline: Instant,
     condition: impl AsyncFn() -> bool,
 ) -> Result<(), DemoError> {
     while !condition().await {
-        if Instant::now() > patience {
+        if Instant::now() > deadline {
             let what = what.to_owned();
-            return Err(DemoError::Late { what });
+            return Err(DemoError::Timeout { what });
         }
-        look().await;
+        pause().await;
     }
     Ok(())
 }
 
-async fn look() {
-    tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
+async fn pause() {
+    tokio::time::sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
 }
 
 fn millis(duration: Duration) -> Millis {
@@ -113,6 +113,6 @@
 
 /// Wall-clock time in milliseconds since the Unix epoch.
 pub(super) fn wall_ms() -> Millis {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, millis)
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.map_or(0, millis)
 }
--- a/crates/standin/src/demo/report.rs
+++ b/crates/standin/src/demo/report.rs
@@ -1,4 +1,4 @@
-//! What a demo prints.
+//! Report of a demo.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,27 +11,27 @@
 use crate::load;
 use crate::store::Calls;
 
-/// What came of a demo.
+/// Results of a demo.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Report {
     /// Deployment.
     pub deployment: String,
-    /// Requests as their callers saw them.
+    /// Requests, from the callers' records.
     pub requests: load::Report,
     /// Jobs by profile.
     pub jobs: BTreeMap<String, JobReport>,
-    /// Ends of runs by profile and kind, as the workers saw them.
+    /// Number of runs by profile and kind of end, from the workers' records.
     pub ends: BTreeMap<String, BTreeMap<&'static str, u64>>,
     /// The availability zone that was taken out and brought back.
     pub zone: ZoneReport,
-    /// Source, victim and largest slowdown of each pair, the strongest first.
+    /// Source, victim and largest slowdown of each pair of profiles, in descending order.
     pub pressure: Vec<(String, String, f64)>,
     /// Number of log events by name.
     pub events: BTreeMap<String, u64>,
-    /// Calls that the store took.
+    /// Calls that the store received.
     pub store: Calls,
-    /// Promises that were broken.
+    /// Violations of guarantees.
     pub violations: Vec<Violation>,
 }
 
@@ -39,15 +39,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct JobReport {
-    /// Jobs.
+    /// Jobs of the profile.
     pub jobs: u64,
     /// Jobs that were not accepted.
     pub not_accepted: u64,
     /// Tasks of all jobs.
     pub tasks: u64,
-    /// Tasks that ran to their end.
+    /// Tasks that completed.
     pub done: u64,
-    /// Tasks that failed for good.
+    /// Tasks that failed permanently.
     pub failed: u64,
     /// Tasks that were cancelled.
     pub cancelled: u64,
@@ -55,32 +55,32 @@
     pub unknown: u64,
 }
 
-/// An availability zone out and back.
+/// Outage of an availability zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ZoneReport {
     /// Availability zone.
     pub zone: String,
-    /// Processes that had the change in force when the operator got the answer.
+    /// Processes that had the change in force when the operator received the answer.
     pub confirmed: usize,
     /// Processes that had not.
     pub not_confirmed: usize,
-    /// Time until the answer to taking it out, in milliseconds.
+    /// Latency of the call that took it out, in milliseconds.
     pub out_ms: Millis,
-    /// Time until the answer to bringing it back, in milliseconds.
+    /// Latency of the call that brought it back, in milliseconds.
     pub in_ms: Millis,
 }
 
 impl Report {
-    /// Whether every promise was kept and every kind of request was served.
-    pub fn is_good(&self) -> bool {
-        let served = |kind: &load::KindReport| kind.answered > 0;
-        self.violations.is_empty() && self.requests.kinds.values().all(served)
+    /// Whether no guarantee was violated and every kind of request was answered.
+    pub fn is_success(&self) -> bool {
+        let answered = |kind: &load::KindReport| kind.answered > 0;
+        self.violations.is_empty() && self.requests.kinds.values().all(answered)
     }
 }
 
-/// Ends of runs by profile and kind.
-pub(super) fn ends(session: &Session) -> BTreeMap<String, BTreeMap<&'static str, u64>> {
+/// Number of runs by profile and kind of end.
+pub(super) fn count_ends(session: &Session) -> BTreeMap<String, BTreeMap<&'static str, u64>> {
     let mut ends: BTreeMap<String, BTreeMap<&'static str, u64>> = BTreeMap::new();
     let runs = session.workers.iter().flat_map(|worker| &worker.runs);
     for run in runs {
@@ -107,7 +107,7 @@
         self.write_pressure(f)?;
         writeln!(
             f,
-            "\nStore: {} reads, {} watches, {} writes, {} transactions, {} session calls, {} refused by its rate",
+            "\nStore: {} reads, {} watches, {} writes, {} transactions, {} session calls, {} refused by the rate limit",
             self.store.reads,
             self.store.watches,
             self.store.writes,
@@ -152,9 +152,9 @@
     }
 
     fn write_pressure(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "\nWhose work pressed on whose")?;
+        writeln!(f, "\nInterference between profiles")?;
         if self.pressure.is_empty() {
-            writeln!(f, "  none was seen")?;
+            writeln!(f, "  none was observed")?;
         }
         for (source, victim, slowdown) in &self.pressure {
             writeln!(f, "  {source} slowed {victim} by up to {slowdown:.2} times")?;
--- a/crates/standin/src/demo/traffic.rs
+++ b/crates/standin/src/demo/traffic.rs
@@ -1,4 +1,4 @@
-//! What callers and teams of a deployment send.
+//! Traffic of a deployment: the callers' requests and the teams' jobs.
 
 use std::collections::BTreeMap;
 
@@ -12,17 +12,17 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub(super) struct Traffic {
-    /// Mean calls a second by kind.
+    /// Mean calls per second by kind.
     pub(super) calls_per_second: BTreeMap<String, f64>,
-    /// Share by which the load swings around its mean.
+    /// Amplitude of the load's swing, as a fraction of its mean.
     pub(super) swing: f64,
     /// Availability zone that operators take out and bring back.
     pub(super) zone: String,
-    /// Jobs.
+    /// Jobs of all teams.
     pub(super) jobs: Vec<JobPlan>,
 }
 
-/// Equal jobs that are submitted one after the other.
+/// Identical jobs that are submitted at equal intervals.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub(super) struct JobPlan {
@@ -36,22 +36,22 @@
     pub(super) tasks: u32,
     /// Declared run time of a task, in milliseconds.
     pub(super) run_ms: Millis,
-    /// Submission of the first job, as a share of the demo's time.
+    /// Submission of the first job, as a fraction of the demo's duration.
     pub(super) from: f64,
-    /// Submission of the last job, as a share of the demo's time.
+    /// Submission of the last job, as a fraction of the demo's duration.
     pub(super) until: f64,
-    /// Whether the jobs are cancelled in the end.
+    /// Whether the jobs are cancelled after the load.
     #[serde(default)]
     pub(super) cancelled: bool,
 }
 
 impl Traffic {
-    /// Calls a second over all kinds.
+    /// Calls per second over all kinds.
     pub(super) fn rate(&self) -> f64 {
         self.calls_per_second.values().sum()
     }
 
-    /// Kinds of `declarations` with their shares of the load.
+    /// Kinds of `declarations` with their weights in the load.
     pub(super) fn kinds(&self, declarations: &Declarations) -> Vec<KindPlan> {
         let weight = |name: &str| self.calls_per_second.get(name).copied().unwrap_or(0.0);
         let kinds = KindPlan::all(declarations).into_iter();
@@ -64,11 +64,12 @@
 }
 
 impl JobPlan {
-    /// Submission of the job `number` after the start, in milliseconds.
+    /// Time from the start to the submission of job `number`, in milliseconds.
     pub(super) fn due_ms(&self, number: u32, duration_ms: Millis) -> Millis {
         let last = f64::from(self.count.saturating_sub(1).max(1));
-        let share = self.from + (self.until - self.from) * f64::from(number) / last;
-        let millis = std::time::Duration::from_millis(duration_ms).mul_f64(share.clamp(0.0, 1.0));
+        let fraction = self.from + (self.until - self.from) * f64::from(number) / last;
+        let millis =
+            std::time::Duration::from_millis(duration_ms).mul_f64(fraction.clamp(0.0, 1.0));
         u64::try_from(millis.as_millis()).unwrap_or(duration_ms)
     }
 }
--- a/crates/standin/src/history/mod.rs
+++ b/crates/standin/src/history/mod.rs
@@ -1,8 +1,8 @@
-//! What workers and callers saw, and the check of it against the promises.
+//! Histories recorded by workers and callers, and their check against the guarantees.
 //!
-//! The check believes nothing that the system under test says of itself: it
-//! reads what ran where and when from the workers, what came back from the
-//! callers, and when an availability zone was out from the operator.
+//! The check uses no data from the system under test itself: the workers record
+//! what ran where and when, the callers record the answers they got, and the
+//! operator records when an availability zone was out.
 
 mod check;
 mod record;
--- a/crates/standin/src/history/record.rs
+++ b/crates/standin/src/history/record.rs
@@ -6,7 +6,7 @@
 use verbenahitch::domain::{Millis, Resources, TaskId};
 use verbenahitch::port::EndKind;
 
-/// Everything that one worker did.
+/// Runs and requests of one worker.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct WorkerHistory {
@@ -14,7 +14,7 @@
     pub worker: String,
     /// Availability zone of the worker.
     pub zone: String,
-    /// Size of the worker.
+    /// Capacity of the worker.
     pub capacity: Resources,
     /// Runs in the order of their starts.
     pub runs: Vec<RunRecord>,
@@ -36,13 +36,13 @@
     pub run: u64,
     /// Profile of the task.
     pub profile: String,
-    /// What the run commits.
+    /// Resources that the run commits.
     pub resources: Resources,
     /// Checkpoint that the run resumed from: progress in milliseconds of work.
     pub resumed_ms: Millis,
     /// Start.
     pub start: Millis,
-    /// End; `None` while the run goes on.
+    /// End; `None` while the run is in progress.
     pub end: Option<RunEnd>,
 }
 
@@ -50,27 +50,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct RunEnd {
-    /// When.
+    /// Time of the end.
     pub at: Millis,
-    /// How; `None` if the worker died.
+    /// Kind of end; `None` if the worker crashed.
     pub kind: Option<EndKind>,
     /// Newest checkpoint: progress in milliseconds of work.
     pub checkpoint_ms: Millis,
-    /// Whether the worker lost its memory of the end before its acknowledgement.
+    /// Whether the worker kept its record of the end until the acknowledgement.
     #[serde(default)]
     pub memory: EndMemory,
 }
 
-/// What a worker that lost power knew of an end.
+/// State of a worker's record of an end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndMemory {
-    /// The end is remembered, or was acknowledged.
+    /// The end is still recorded, or was acknowledged.
     #[default]
     Kept,
-    /// The end was told and then forgotten without an acknowledgement.
+    /// The end was reported, but the record was lost before an acknowledgement.
     Told,
-    /// The end was forgotten before anybody was told.
+    /// The record was lost before the end was reported.
     Untold,
 }
 
@@ -78,7 +78,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct RequestRecord {
-    /// First part of the request's path.
+    /// First segment of the request's path.
     pub kind: String,
     /// Value of `x-request-id`, empty if absent.
     pub request_id: String,
@@ -92,38 +92,38 @@
     pub end: Option<Millis>,
 }
 
-/// One call as its caller saw it.
+/// One call, recorded by its caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct CallRecord {
     /// Value of `x-call-id`, unique in the session.
     pub call_id: String,
-    /// First part of the request's path.
+    /// First segment of the request's path.
     pub kind: String,
     /// Value of `idempotency-key`, if any.
     pub key: Option<String>,
-    /// When it was sent.
+    /// Time at which it was sent.
     pub sent: Millis,
-    /// What came back.
+    /// Outcome for the caller.
     pub outcome: CallOutcome,
 }
 
-/// What a caller got.
+/// Outcome of a call for its caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CallOutcome {
     /// An upstream's answer.
     Answered {
-        /// Call that the answer belongs to, as the answer says.
+        /// Call ID that the answer states.
         call_id: String,
-        /// Whether the answer is whole.
+        /// Whether the answer is complete.
         whole: bool,
     },
-    /// A refusal that says that the request has not run.
+    /// A refusal which states that the request has not run.
     NotRun,
-    /// An answer that says that the request may have run.
+    /// An answer which states that the request may have run.
     Unknown,
-    /// No answer, or one that says nothing of it.
+    /// No answer, or one that does not state whether the request has run.
     Broken,
 }
 
@@ -133,13 +133,13 @@
 pub struct Outage {
     /// Availability zone.
     pub zone: String,
-    /// When operators' change was accepted.
+    /// Time at which operators took it out.
     pub from: Millis,
-    /// When it was brought back; `None` if it was not.
+    /// Time at which it was brought back; `None` if it was not.
     pub until: Option<Millis>,
 }
 
-/// Everything that was seen in a session.
+/// Histories of a whole session.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Session {
--- a/crates/standin/src/history/tasks.rs
+++ b/crates/standin/src/history/tasks.rs
@@ -1,4 +1,4 @@
-//! Check of the workers' runs.
+//! Check of the runs that workers recorded.
 
 use std::collections::BTreeMap;
 
@@ -10,38 +10,38 @@
 
 /// A run with its worker.
 #[derive(Clone, Copy)]
-struct Placed<'a> {
+struct PlacedRun<'a> {
     worker: &'a WorkerHistory,
     run: &'a RunRecord,
 }
 
-pub(super) fn check(session: &Session, rules: &Rules, found: &mut Vec<Violation>) {
-    let mut tasks: BTreeMap<&TaskId, Vec<Placed<'_>>> = BTreeMap::new();
+pub(super) fn check(session: &Session, rules: &Rules, violations: &mut Vec<Violation>) {
+    let mut tasks: BTreeMap<&TaskId, Vec<PlacedRun<'_>>> = BTreeMap::new();
     for worker in &session.workers {
         for run in &worker.runs {
-            let placed = Placed { worker, run };
+            let placed = PlacedRun { worker, run };
             tasks.entry(&run.task).or_default().push(placed);
-            found.extend(started_out(placed, &session.outages, rules));
+            violations.extend(started_in_outage(placed, &session.outages, rules));
         }
-        found.extend(overcommitted(worker));
+        violations.extend(overcommitted(worker));
     }
     for runs in tasks.values_mut() {
         runs.sort_by_key(|placed| placed.run.start);
-        task(runs, rules, found);
+        check_task(runs, rules, violations);
     }
 }
 
 /// Checks the runs of one task, in the order of their starts.
-fn task(runs: &[Placed<'_>], rules: &Rules, found: &mut Vec<Violation>) {
+fn check_task(runs: &[PlacedRun<'_>], rules: &Rules, violations: &mut Vec<Violation>) {
     for (position, earlier) in runs.iter().enumerate() {
         for later in &runs[position + 1..] {
-            found.extend(two_places(*earlier, *later, rules));
-            found.extend(started_again(*earlier, *later, rules));
+            violations.extend(overlap(*earlier, *later, rules));
+            violations.extend(invalid_restart(*earlier, *later, rules));
         }
     }
 }
 
-fn two_places(earlier: Placed<'_>, later: Placed<'_>, rules: &Rules) -> Option<Violation> {
+fn overlap(earlier: PlacedRun<'_>, later: PlacedRun<'_>, rules: &Rules) -> Option<Violation> {
     let end = earlier.run.end.map_or(Millis::MAX, |end| end.at);
     let overlaps = later.run.start.saturating_add(rules.slack_ms) < end;
     overlaps.then(|| Violation::TwoPlaces {
@@ -52,22 +52,26 @@
     })
 }
 
-fn started_again(earlier: Placed<'_>, later: Placed<'_>, rules: &Rules) -> Option<Violation> {
+fn invalid_restart(
+    earlier: PlacedRun<'_>,
+    later: PlacedRun<'_>,
+    rules: &Rules,
+) -> Option<Violation> {
     let task = || later.run.task.clone();
     let worker = || later.worker.worker.clone();
-    let once = rules.once_profiles.contains(&later.run.profile);
+    let at_most_once = rules.once_profiles.contains(&later.run.profile);
     let end = earlier.run.end?;
-    let known = match end.memory {
+    let end_known = match end.memory {
         EndMemory::Kept => true,
         EndMemory::Told => !rules.lossy,
         EndMemory::Untold => false,
     };
-    match end.kind.filter(|_| known) {
+    match end.kind.filter(|_| end_known) {
         Some(EndKind::Done) => Some(Violation::StartedAfterEnd {
             task: task(),
             worker: worker(),
         }),
-        None if once => Some(Violation::StartedAfterLoss {
+        None if at_most_once => Some(Violation::StartedAfterLoss {
             task: task(),
             worker: worker(),
         }),
@@ -75,7 +79,11 @@
     }
 }
 
-fn started_out(placed: Placed<'_>, outages: &[Outage], rules: &Rules) -> Option<Violation> {
+fn started_in_outage(
+    placed: PlacedRun<'_>,
+    outages: &[Outage],
+    rules: &Rules,
+) -> Option<Violation> {
     let start = placed.run.start;
     let covers = |outage: &&Outage| {
         let from = outage.from.saturating_add(rules.zone_grace_ms);
@@ -91,14 +99,14 @@
     })
 }
 
-/// First instant at which a worker was committed beyond its size.
+/// First start that committed a worker beyond its capacity.
 fn overcommitted(worker: &WorkerHistory) -> Option<Violation> {
-    let mut changes: Vec<Change> = worker.runs.iter().flat_map(changes).collect();
-    // What ends at an instant makes room for what starts then.
-    changes.sort_by_key(|change| (change.at, change.starts));
+    let mut changes: Vec<CommitmentChange> = worker.runs.iter().flat_map(changes).collect();
+    // Ends are applied before the starts at the same instant, which may use the freed resources.
+    changes.sort_by_key(|change| (change.at, change.is_start));
     let mut committed = Resources::ZERO;
     for change in changes {
-        if !change.starts {
+        if !change.is_start {
             committed = committed.saturating_sub(change.resources);
             continue;
         }
@@ -114,21 +122,21 @@
     None
 }
 
-/// Change of what a worker's runs commit.
-struct Change {
+/// Change of the resources that a worker's runs commit.
+struct CommitmentChange {
     at: Millis,
-    starts: bool,
+    is_start: bool,
     resources: Resources,
 }
 
-fn changes(run: &RunRecord) -> Vec<Change> {
-    let change = |at, starts| Change {
+fn changes(run: &RunRecord) -> Vec<CommitmentChange> {
+    let change = |at, is_start| CommitmentChange {
         at,
-        starts,
+        is_start,
         resources: run.resources,
     };
     match run.end {
-        // A run that failed at its start commits nothing for any time.
+        // A run that failed at its start never commits resources.
         Some(end) if end.at <= run.start => Vec::new(),
         Some(end) => vec![change(run.start, true), change(end.at, false)],
         None => vec![change(run.start, true)],
--- a/crates/standin/src/load/call.rs
+++ b/crates/standin/src/load/call.rs
@@ -1,4 +1,4 @@
-//! One call and what its caller sees.
+//! One call and its outcome for the caller.
 
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -16,15 +16,15 @@
     pub(super) call_id: String,
     pub(super) key: Option<String>,
     pub(super) kind: KindPlan,
-    pub(super) caller: SocketAddr,
+    pub(super) address: SocketAddr,
 }
 
 impl Call {
-    /// Sends the call and judges the answer.
+    /// Sends the call and classifies the answer.
     pub(super) async fn send(&self, client: &Client, timeout: Duration) -> CallRecord {
         let sent = wall_ms();
         let path = &self.kind.path;
-        let url = format!("http://{}{path}/{}", self.caller, self.call_id);
+        let url = format!("http://{}{path}/{}", self.address, self.call_id);
         let mut request = client
             .post(url)
             .timeout(timeout)
@@ -35,19 +35,19 @@
             request = request.header("idempotency-key", key);
         }
         let outcome = match request.send().await {
-            Ok(response) => self.judge(response).await,
+            Ok(response) => self.classify(response).await,
             Err(_) => CallOutcome::Broken,
         };
         CallRecord {
             call_id: self.call_id.clone(),
-            kind: first(path).to_owned(),
+            kind: first_segment(path).to_owned(),
             key: self.key.clone(),
             sent,
             outcome,
         }
     }
 
-    async fn judge(&self, response: Response) -> CallOutcome {
+    async fn classify(&self, response: Response) -> CallOutcome {
         let header = |name| response.headers().get(name)?.to_str().ok();
         if header("verbenahitch-not-run") == Some("true") {
             return CallOutcome::NotRun;
@@ -55,13 +55,13 @@
         if header("verbenahitch-outcome").is_some() {
             return CallOutcome::Unknown;
         }
-        let named = header("x-request-id") == Some(self.call_id.as_str());
+        let id_matches = header("x-request-id") == Some(self.call_id.as_str());
         if response.status() != StatusCode::OK {
             return CallOutcome::Broken;
         }
         match response.json::<Receipt>().await {
             Ok(receipt) => CallOutcome::Answered {
-                whole: named && receipt.echo == self.body(),
+                whole: id_matches && receipt.echo == self.body(),
                 call_id: receipt.call_id,
             },
             Err(error) if error.is_decode() => CallOutcome::Answered {
@@ -80,12 +80,12 @@
     }
 }
 
-/// First part of a path.
-fn first(path: &str) -> &str {
+/// First segment of a path.
+fn first_segment(path: &str) -> &str {
     path.trim_matches('/').split('/').next().unwrap_or_default()
 }
 
 fn wall_ms() -> Millis {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |since| u64::try_from(since.as_millis()).unwrap_or(0))
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.map_or(0, |elapsed| u64::try_from(elapsed.as_millis()).unwrap_or(0))
 }
--- a/crates/standin/src/load/mod.rs
+++ b/crates/standin/src/load/mod.rs
@@ -1,8 +1,8 @@
-//! Load tool: drives the callers' addresses of gateways and checks every answer.
+//! Load generator: sends requests to the callers' addresses of gateways and checks every answer.
 //!
-//! The load is open: calls are due at instants that do not depend on the
-//! answers, and a latency counts from the instant at which its call was due, so
-//! that a stalled system shows its whole delay. Count, time and concurrency are
+//! The load is open-loop: calls are due at instants that do not depend on the
+//! answers, and latency is measured from the instant at which a call was due, so
+//! that the latencies include the whole delay of a stall. Count, time and concurrency are
 //! bounded.
 
 mod call;
--- a/crates/standin/src/load/plan.rs
+++ b/crates/standin/src/load/plan.rs
@@ -1,32 +1,32 @@
-//! What a load sends.
+//! Plan of a load.
 
 use std::net::SocketAddr;
 
 use verbenahitch::config::Declarations;
 use verbenahitch::domain::Millis;
 
-/// A bounded open load.
+/// A bounded open-loop load.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Start of the identity of every call, unique in a session.
+    /// Prefix of every call ID, unique in a session.
     pub label: String,
-    /// Callers' addresses of the gateways, used in turn.
+    /// Callers' addresses of the gateways, used round robin.
     pub callers: Vec<SocketAddr>,
     /// Kinds of request.
     pub kinds: Vec<KindPlan>,
-    /// Mean calls a second over all kinds.
+    /// Mean calls per second over all kinds.
     pub rate: f64,
-    /// Share by which the rate swings around its mean, once up and down in the duration.
+    /// Amplitude of the rate as a fraction of its mean; the duration is one sine period.
     pub swing: f64,
-    /// Most calls in progress; further ones wait and their wait counts as latency.
+    /// Maximum number of calls in progress; further ones wait, which counts as latency.
     pub concurrency: usize,
-    /// Most calls.
+    /// Maximum number of calls.
     pub count: u64,
     /// Longest time in which calls are sent, in milliseconds.
     pub duration_ms: Millis,
-    /// Time limit of a call, in milliseconds.
+    /// Timeout of a call, in milliseconds.
     pub timeout_ms: Millis,
-    /// Seed of the instants and the kinds.
+    /// Seed of the arrival times and the kinds.
     pub seed: u64,
 }
 
@@ -37,9 +37,9 @@
     pub name: String,
     /// Path that calls are sent to.
     pub path: String,
-    /// Share of the load, relative to the other kinds.
+    /// Weight in the load, relative to the other kinds.
     pub weight: f64,
-    /// Whether calls carry an idempotency key, and are repeated under it if their outcome is unclear.
+    /// Whether calls carry an idempotency key, and are repeated with it if their outcome is unknown.
     pub keyed: bool,
 }
 
--- a/crates/standin/src/load/report.rs
+++ b/crates/standin/src/load/report.rs
@@ -1,4 +1,4 @@
-//! What came of a load.
+//! Results of a load.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,38 +9,38 @@
 
 use crate::history::{CallOutcome, CallRecord};
 
-/// Significant digits of the histograms.
-const DIGITS: u8 = 3;
+/// Precision of the histograms.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Largest latency that is told apart, in microseconds.
-const LIMIT_US: u64 = 3_600_000_000;
+/// Largest latency that the histograms record, in microseconds; longer ones count as this.
+const MAX_LATENCY_US: u64 = 3_600_000_000;
 
-/// What came of a load, by kind.
+/// Results of a load, by kind.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Report {
     /// Figures by the kind's name.
     pub kinds: BTreeMap<String, KindReport>,
-    /// Every call as its caller saw it.
+    /// Every call, from its caller's record.
     #[serde(skip)]
     pub calls: Vec<CallRecord>,
 }
 
-/// What came of the calls of one kind. Latencies are those of whole answers.
+/// Results of the calls of one kind. Latencies are those of complete answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct KindReport {
     /// Calls sent.
     pub sent: u64,
-    /// Whole answers to the call itself.
+    /// Complete answers that belong to their call.
     pub answered: u64,
-    /// Refusals that say that the request has not run.
+    /// Refusals which state that the request has not run.
     pub not_run: u64,
-    /// Answers that say that the request may have run.
+    /// Answers which state that the request may have run.
     pub unknown: u64,
-    /// Calls without an answer, or with one that says nothing.
+    /// Calls without an answer, or with one that does not state whether the request has run.
     pub broken: u64,
-    /// Answers to another call, or parts of answers.
+    /// Answers to another call, and incomplete answers.
     pub wrong: u64,
     /// Median latency in microseconds.
     pub p50_us: u64,
@@ -52,7 +52,7 @@
     pub max_us: u64,
 }
 
-/// Collects calls as they end.
+/// Collects the results of completed calls.
 #[derive(Debug, Default)]
 pub(super) struct Collector {
     kinds: BTreeMap<String, (KindReport, Option<Histogram<u64>>)>,
@@ -67,7 +67,7 @@
             CallOutcome::Answered { call_id, whole } if *whole && *call_id == call.call_id => {
                 report.answered += 1;
                 let micros = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
-                let histogram = histogram.get_or_insert_with(fresh);
+                let histogram = histogram.get_or_insert_with(new_histogram);
                 histogram.saturating_record(micros);
             }
             CallOutcome::Answered { .. } => report.wrong += 1,
@@ -90,8 +90,9 @@
     }
 }
 
-fn fresh() -> Histogram<u64> {
-    Histogram::new_with_max(LIMIT_US, DIGITS).expect("the limits are valid")
+fn new_histogram() -> Histogram<u64> {
+    Histogram::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+        .expect("the histogram's limits are valid")
 }
 
 fn with_latency(report: KindReport, histogram: &Histogram<u64>) -> KindReport {
--- a/crates/standin/src/load/run.rs
+++ b/crates/standin/src/load/run.rs
@@ -1,4 +1,4 @@
-//! Sending of a load.
+//! Sends a load at its scheduled instants.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -15,11 +15,11 @@
 use super::report::{Collector, Report};
 use crate::history::CallOutcome;
 
-/// Sends a load and waits for the ends of all its calls.
+/// Sends a load and waits until all its calls have completed.
 ///
 /// # Panics
 ///
-/// When the plan names no kind with a positive weight, or no address.
+/// When the plan has no kind with a positive weight, or no address.
 pub async fn run(plan: &Plan) -> Report {
     let sender = Arc::new(Sender {
         client: Client::builder()
@@ -28,20 +28,23 @@
             .build()
             .expect("a client without TLS and proxies always builds"),
         timeout: Duration::from_millis(plan.timeout_ms),
-        room: Semaphore::new(plan.concurrency.max(1)),
+        permits: Semaphore::new(plan.concurrency.max(1)),
         collector: Mutex::default(),
     });
     let mut calls = JoinSet::new();
-    let mut due_calls = pace(plan.clone());
+    let mut due_calls = emit_calls(plan.clone());
     while let Some((call, due)) = due_calls.recv().await {
         let sender = Arc::clone(&sender);
-        let other = plan.callers.iter().find(|caller| **caller != call.caller);
+        let other = plan
+            .callers
+            .iter()
+            .find(|address| **address != call.address);
         let repeat = Call {
-            caller: *other.unwrap_or(&call.caller),
+            address: *other.unwrap_or(&call.address),
             call_id: format!("{}-again", call.call_id),
             ..call.clone()
         };
-        calls.spawn(async move { sender.carry(call, repeat, due).await });
+        calls.spawn(async move { sender.send_with_repeat(call, repeat, due).await });
         while calls.try_join_next().is_some() {}
     }
     while calls.join_next().await.is_some() {}
@@ -49,11 +52,11 @@
     collector.report()
 }
 
-/// Hands out each call when it is due.
+/// Emits each call when it is due.
 ///
-/// A thread of its own does so, because timers of the runtime go by whole
-/// milliseconds, which is more than a fast answer takes.
-fn pace(plan: Plan) -> mpsc::UnboundedReceiver<(Call, Instant)> {
+/// Runs on its own thread, because the runtime's timers have a resolution of a
+/// millisecond, which is longer than a fast answer takes.
+fn emit_calls(plan: Plan) -> mpsc::UnboundedReceiver<(Call, Instant)> {
     let (sender, receiver) = mpsc::unbounded_channel();
     tokio::task::spawn_blocking(move || {
         let started = Instant::now();
@@ -71,22 +74,22 @@
 struct Sender {
     client: Client,
     timeout: Duration,
-    room: Semaphore,
+    permits: Semaphore,
     collector: Mutex<Collector>,
 }
 
 impl Sender {
-    /// Sends a call; a keyed one is repeated once, elsewhere, if its outcome is unclear.
-    async fn carry(&self, call: Call, repeat: Call, due: Instant) {
+    /// Sends a call, and repeats a keyed one once, at another address, if its outcome is unknown.
+    async fn send_with_repeat(&self, call: Call, repeat: Call, due: Instant) {
         let outcome = self.send(&call, due).await;
-        let unclear = matches!(outcome, CallOutcome::Unknown | CallOutcome::Broken);
-        if call.key.is_some() && unclear {
+        let unknown = matches!(outcome, CallOutcome::Unknown | CallOutcome::Broken);
+        if call.key.is_some() && unknown {
             self.send(&repeat, Instant::now()).await;
         }
     }
 
     async fn send(&self, call: &Call, due: Instant) -> CallOutcome {
-        let _room = self.room.acquire().await;
+        let _permit = self.permits.acquire().await;
         let record = call.send(&self.client, self.timeout).await;
         let outcome = record.outcome.clone();
         self.collector().add(&call.kind.name, record, due.elapsed());
@@ -99,7 +102,7 @@
     }
 }
 
-/// Calls with the time from the start at which each is due.
+/// Calls, each with the time after the start at which it is due.
 struct Schedule<'a> {
     plan: &'a Plan,
     kinds: WeightedIndex<f64>,
@@ -113,7 +116,7 @@
         let weights = plan.kinds.iter().map(|kind| kind.weight);
         Self {
             plan,
-            kinds: WeightedIndex::new(weights).expect("a load has kinds with weights"),
+            kinds: WeightedIndex::new(weights).expect("a load has a kind with a positive weight"),
             rng: ChaCha8Rng::seed_from_u64(plan.seed),
             number: 0,
             offset: Duration::ZERO,
@@ -122,11 +125,11 @@
 }
 
 impl Schedule<'_> {
-    /// Calls a second at the instant that the schedule has reached.
+    /// Calls per second at the current offset of the schedule.
     fn rate(&self) -> f64 {
         let duration = Duration::from_millis(self.plan.duration_ms.max(1));
-        let turn = self.offset.div_duration_f64(duration) * std::f64::consts::TAU;
-        (self.plan.rate * (1.0 + self.plan.swing * turn.sin())).max(1e-3)
+        let phase = self.offset.div_duration_f64(duration) * std::f64::consts::TAU;
+        (self.plan.rate * (1.0 + self.plan.swing * phase.sin())).max(1e-3)
     }
 }
 
@@ -134,20 +137,20 @@
     type Item = (Call, Duration);
 
     fn next(&mut self) -> Option<Self::Item> {
-        // Independent callers: exponential gaps between their calls.
+        // Arrivals of independent callers are a Poisson process: the gaps are exponential.
         let gap_s = -(1.0 - self.rng.random::<f64>()).ln() / self.rate();
         self.offset += Duration::from_secs_f64(gap_s);
-        let limit = Duration::from_millis(self.plan.duration_ms);
-        if self.number >= self.plan.count || self.offset > limit {
+        let duration = Duration::from_millis(self.plan.duration_ms);
+        if self.number >= self.plan.count || self.offset > duration {
             return None;
         }
         let kind = self.plan.kinds[self.rng.sample(&self.kinds)].clone();
         let call_id = format!("{}-{}", self.plan.label, self.number);
         let callers = &self.plan.callers;
-        let turn = usize::try_from(self.number).unwrap_or(0) % callers.len();
+        let position = usize::try_from(self.number).unwrap_or(0) % callers.len();
         let call = Call {
             key: kind.keyed.then(|| format!("key-{call_id}")),
-            caller: callers[turn],
+            address: callers[position],
             call_id,
             kind,
         };
--- a/crates/standin/src/measure/experiment.rs
+++ b/crates/standin/src/measure/experiment.rs
@@ -1,4 +1,4 @@
-//! The experiments.
+//! Experiments that vary the workers, the starts or the requests.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -9,58 +9,58 @@
 use verbenahitch::port::EndKind;
 
 use super::report::{Report, Row};
-use super::site::{Site, wait};
+use super::testbed::{Testbed, wait_until};
 use super::usage::{Sample, resident_mib};
 use crate::load::{self, KindPlan, Plan};
 use crate::platform::PlatformError;
 use crate::worker;
 
-/// Tasks that run on each worker while the cost of workers is measured.
-pub(super) const TASKS_A_WORKER: usize = 10;
+/// Tasks that run on each worker in the experiments on workers and takeovers.
+pub(super) const TASKS_PER_WORKER: usize = 10;
 
-/// Workers while the cost of starts and requests is measured.
+/// Workers in the experiments on starts and requests.
 const FIXED_WORKERS: usize = 50;
 
-/// Run time of a task while the cost of starts is measured, in milliseconds.
+/// Run time of a task in the experiment on starts, in milliseconds.
 const SHORT_RUN_MS: Millis = 500;
 
-/// Run time of a task that outlasts every experiment, in milliseconds.
+/// Run time that exceeds every experiment, in milliseconds.
 const LONG_RUN_MS: Millis = 3_600_000;
 
-/// Time before a measurement in which the daemons settle.
-pub(super) const SETTLE: Duration = Duration::from_secs(3);
+/// Wait before a measurement, until the daemons have settled.
+pub(super) const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Jobs a second while the cost of starts is measured.
-const JOBS_A_SECOND: usize = 4;
+/// Jobs per second in the experiment on starts.
+const JOBS_PER_SECOND: usize = 4;
 
-/// Size of each worker in whole cores and mebibytes.
-const WORKER: Resources = Resources::new(32, 65_536);
+/// Capacity of each worker, in whole cores and mebibytes.
+const WORKER_CAPACITY: Resources = Resources::new(32, 65_536);
 
-/// What is varied.
+/// Quantity that an experiment varies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Experiment {
     /// Workers of a shard, each with the same number of running tasks.
     Workers,
-    /// Starts of tasks a second.
+    /// Task starts per second.
     Starts,
-    /// Requests a second.
+    /// Requests per second.
     Requests,
 }
 
-/// What to measure.
+/// Options of an experiment.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// What is varied.
+    /// Quantity that is varied.
     pub experiment: Experiment,
     /// The `verbenahitch` program.
     pub program: PathBuf,
     /// Sizes, one after the other.
     pub sizes: Vec<u32>,
-    /// Time of each measurement, in seconds.
+    /// Duration of each measurement, in seconds.
     pub seconds: u64,
 }
 
-/// Why an experiment failed.
+/// Error that ends an experiment.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum MeasureError {
@@ -92,9 +92,9 @@
         /// Cause.
         source: ClientError,
     },
-    /// A condition did not come about.
-    #[snafu(display("not in time: {what}"))]
-    Late {
+    /// A condition was not met before the timeout.
+    #[snafu(display("timed out waiting until {what}"))]
+    Timeout {
         /// Condition.
         what: &'static str,
     },
@@ -104,11 +104,11 @@
 ///
 /// # Errors
 ///
-/// When something does not start or does not come about.
+/// When a stand-in or daemon does not start, a call fails or a wait times out.
 pub async fn run(options: &Options) -> Result<Report, MeasureError> {
     let mut rows = Vec::new();
     for (number, size) in (0..).zip(&options.sizes) {
-        rows.push(measure(options, number, *size).await?);
+        rows.push(measure_size(options, number, *size).await?);
     }
     let unit = match options.experiment {
         Experiment::Workers => "workers",
@@ -118,35 +118,38 @@
     Ok(Report { unit, rows })
 }
 
-async fn measure(options: &Options, number: u8, size: u32) -> Result<Row, MeasureError> {
+async fn measure_size(options: &Options, number: u8, size: u32) -> Result<Row, MeasureError> {
     let size = usize::try_from(size).unwrap_or(usize::MAX);
     let workers = match options.experiment {
         Experiment::Workers => size,
         Experiment::Starts | Experiment::Requests => FIXED_WORKERS,
     };
-    let mut site = Site::start(number, (0..workers).map(worker).collect()).await?;
+    let mut testbed = Testbed::start(number, (0..workers).map(worker_settings).collect()).await?;
     let window = Duration::from_secs(options.seconds);
     let idle = Sample::take(&[]);
-    tokio::time::sleep(SETTLE).await;
-    let idle = idle.until(&Sample::take(&[]));
-    site.run(&options.program).await?;
+    tokio::time::sleep(SETTLE_TIME).await;
+    let idle = idle.usage_until(&Sample::take(&[]));
+    testbed.start_daemons(&options.program).await?;
     if options.experiment == Experiment::Workers {
-        fill(&site, size * TASKS_A_WORKER).await?;
+        submit_long_tasks(&testbed, size * TASKS_PER_WORKER).await?;
     }
     let load = match options.experiment {
         Experiment::Workers => None,
-        Experiment::Starts => Some(tokio::spawn(submit(site.team()?, size))),
-        Experiment::Requests => Some(tokio::spawn(request(site.callers(), size, window))),
+        Experiment::Starts => Some(tokio::spawn(submit_short_tasks(
+            testbed.team_client()?,
+            size,
+        ))),
+        Experiment::Requests => Some(tokio::spawn(send_requests(testbed.callers(), size, window))),
     };
-    tokio::time::sleep(SETTLE).await;
-    let pids = site.pids();
-    let calls = site.platform.store().calls();
-    let seen = seen(&site, options.experiment);
+    tokio::time::sleep(SETTLE_TIME).await;
+    let pids = testbed.pids();
+    let calls_before = testbed.platform.store().calls();
+    let count_before = varied_count(&testbed, options.experiment);
     let before = Sample::take(&pids);
     tokio::time::sleep(window).await;
-    let usage = before.until(&Sample::take(&pids));
-    let after = site.platform.store().calls();
-    let reached = seen_after(&site, options.experiment, seen, usage.seconds);
+    let usage = before.usage_until(&Sample::take(&pids));
+    let calls_after = testbed.platform.store().calls();
+    let reached = reached_size(&testbed, options.experiment, count_before, usage.seconds);
     if let Some(load) = load {
         load.abort();
     }
@@ -157,43 +160,48 @@
         gateway_cpu: usage.cpu_percent[1],
         scheduler_mib: resident_mib(pids[0]),
         gateway_mib: resident_mib(pids[1]),
-        kilobytes: (usage.bytes - idle.bytes) / 1_000.0,
-        store_reads: rate(after.reads + after.watches - calls.reads - calls.watches),
+        kilobytes: (usage.bytes_per_second - idle.bytes_per_second) / 1_000.0,
+        store_reads: rate(
+            calls_after.reads + calls_after.watches - calls_before.reads - calls_before.watches,
+        ),
         store_writes: rate(
-            after.writes + after.txns + after.sessions - calls.writes - calls.txns - calls.sessions,
+            calls_after.writes + calls_after.txns + calls_after.sessions
+                - calls_before.writes
+                - calls_before.txns
+                - calls_before.sessions,
         ),
         reached,
     })
 }
 
-pub(super) fn worker(number: usize) -> worker::Settings {
+pub(super) fn worker_settings(number: usize) -> worker::Settings {
     worker::Settings {
         name: format!("a-w{number}"),
         zone: "a".to_owned(),
         rack: format!("a-r{}", number / 10),
-        capacity: WORKER,
+        capacity: WORKER_CAPACITY,
         ..worker::Settings::default()
     }
 }
 
-/// Submits `tasks` that run on, and waits until all run.
-pub(super) async fn fill(site: &Site, tasks: usize) -> Result<(), MeasureError> {
-    let team = site.team()?;
+/// Submits `tasks` tasks that outlast the experiment, and waits until all are running.
+pub(super) async fn submit_long_tasks(testbed: &Testbed, tasks: usize) -> Result<(), MeasureError> {
+    let team = testbed.team_client()?;
     let spec = spec(tasks, LONG_RUN_MS);
     team.submit("fill", &spec).await.context(ClientSnafu)?;
-    wait("all tasks run", async || {
-        let histories = site.platform.histories();
+    wait_until("all tasks are running", async || {
+        let histories = testbed.platform.histories();
         let runs = histories.iter().flat_map(|history| &history.runs);
         runs.filter(|run| run.end.is_none()).count() >= tasks
     })
     .await
 }
 
-/// Submits jobs so that `rate` tasks start a second, until it is aborted.
-async fn submit(team: verbenahitch::client::Client, rate: usize) {
-    let every = Duration::from_secs(1) / u32::try_from(JOBS_A_SECOND).unwrap_or(1);
-    let mut due = tokio::time::interval(every);
-    let spec = spec(rate / JOBS_A_SECOND, SHORT_RUN_MS);
+/// Submits jobs of short tasks, `rate` tasks per second, until it is aborted.
+async fn submit_short_tasks(team: verbenahitch::client::Client, rate: usize) {
+    let interval = Duration::from_secs(1) / u32::try_from(JOBS_PER_SECOND).unwrap_or(1);
+    let mut due = tokio::time::interval(interval);
+    let spec = spec(rate / JOBS_PER_SECOND, SHORT_RUN_MS);
     let mut number = 0_u64;
     loop {
         due.tick().await;
@@ -204,7 +212,7 @@
     }
 }
 
-async fn request(callers: std::net::SocketAddr, rate: usize, window: Duration) {
+async fn send_requests(callers: std::net::SocketAddr, rate: usize, window: Duration) {
     let plan = Plan {
         label: "measure".to_owned(),
         callers: vec![callers],
@@ -218,7 +226,7 @@
         swing: 0.0,
         concurrency: 256,
         count: u64::MAX,
-        duration_ms: u64::try_from((window + SETTLE * 2).as_millis()).unwrap_or(u64::MAX),
+        duration_ms: u64::try_from((window + SETTLE_TIME * 2).as_millis()).unwrap_or(u64::MAX),
         timeout_ms: 5_000,
         seed: 1,
     };
@@ -234,9 +242,9 @@
     }
 }
 
-/// Count so far of what an experiment varies.
-fn seen(site: &Site, experiment: Experiment) -> usize {
-    let histories = site.platform.histories();
+/// Count so far of the quantity that an experiment varies.
+fn varied_count(testbed: &Testbed, experiment: Experiment) -> usize {
+    let histories = testbed.platform.histories();
     match experiment {
         Experiment::Workers => histories.len(),
         Experiment::Starts => {
@@ -249,9 +257,9 @@
     }
 }
 
-/// Size that was reached in a window that began with `before`.
-fn seen_after(site: &Site, experiment: Experiment, before: usize, seconds: f64) -> f64 {
-    let after = seen(site, experiment);
+/// Size that was reached in a window of `seconds` that began at the count `before`.
+fn reached_size(testbed: &Testbed, experiment: Experiment, before: usize, seconds: f64) -> f64 {
+    let after = varied_count(testbed, experiment);
     match experiment {
         Experiment::Workers => after as f64,
         Experiment::Starts | Experiment::Requests => (after - before) as f64 / seconds,
--- a/crates/standin/src/measure/fit.rs
+++ b/crates/standin/src/measure/fit.rs
@@ -1,11 +1,11 @@
-//! Least squares.
+//! Linear regression by least squares.
 
 use serde::Serialize;
 
-/// Line through measured points.
+/// Line fitted to measured points.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Line {
-    /// Growth for one more unit of size.
+    /// Increase per unit of size.
     pub slope: f64,
     /// Value at size zero.
     pub base: f64,
@@ -18,17 +18,17 @@
     }
 }
 
-/// Line with the least squared distance to `points` of size and value.
+/// Least-squares line of the values over the sizes in `points`.
 ///
-/// Equal sizes give a level line through the mean.
+/// Equal sizes give a horizontal line through the mean.
 pub fn fit(points: &[(f64, f64)]) -> Line {
     let count = points.len().max(1) as f64;
     let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
     let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
-    let spread: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-    let shared = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y));
-    let slope = if spread > 0.0 {
-        shared.sum::<f64>() / spread
+    let squares: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+    let products = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y));
+    let slope = if squares > 0.0 {
+        products.sum::<f64>() / squares
     } else {
         0.0
     };
--- a/crates/standin/src/measure/mod.rs
+++ b/crates/standin/src/measure/mod.rs
@@ -1,21 +1,22 @@
-//! Experiments that measure what a role costs, and how the cost grows.
+//! Experiments that measure the resources a role uses, and how they grow with
+//! the number of workers, starts or requests.
 //!
-//! The daemons run as processes of their own, so that the system tells each
-//! one's processor time and memory; the stand-ins run in this process. An
-//! experiment runs one size after the other and fits a line through what it
-//! saw: the slope is the cost of one more worker, start or request a second.
+//! The daemons run as separate processes, so that the operating system reports
+//! the CPU time and memory of each; the stand-ins run in this process. An
+//! experiment runs one size after the other and fits a line to the measured
+//! values: the slope is the cost of one more worker, start or request per second.
 //!
-//! Bytes are those of the loopback interface, less what it carried in the same
-//! time before the daemons started; nothing else should use it meanwhile.
+//! Bytes are those of the loopback interface, less its rate before the daemons
+//! started; nothing else should use the interface during an experiment.
 
 mod experiment;
 mod fit;
 mod report;
-mod site;
 mod takeover;
+mod testbed;
 mod usage;
 
 pub use experiment::{Experiment, MeasureError, Options, run};
 pub use fit::{Line, fit};
 pub use report::{Report, Row};
-pub use takeover::{Takeover, Takeovers, take_over};
+pub use takeover::{Takeover, Takeovers, run_takeovers};
--- a/crates/standin/src/measure/report.rs
+++ b/crates/standin/src/measure/report.rs
@@ -6,36 +6,36 @@
 
 use super::fit::{Line, fit};
 
-/// What was measured at one size.
+/// Measurement at one size.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Row {
-    /// Workers, starts a second, or requests a second.
+    /// Workers, starts per second, or requests per second.
     pub size: f64,
-    /// Processor time of the scheduler, in percent of a core.
+    /// CPU time of the scheduler, in percent of a core.
     pub scheduler_cpu: f64,
-    /// Processor time of the gateway, in percent of a core.
+    /// CPU time of the gateway, in percent of a core.
     pub gateway_cpu: f64,
     /// Resident memory of the scheduler, in mebibytes.
     pub scheduler_mib: f64,
     /// Resident memory of the gateway, in mebibytes.
     pub gateway_mib: f64,
-    /// Kilobytes a second over the loopback interface.
+    /// Kilobytes per second over the loopback interface.
     pub kilobytes: f64,
-    /// Reads and watches of the store a second.
+    /// Reads and watches of the store per second.
     pub store_reads: f64,
-    /// Writes, transactions and session calls of the store a second.
+    /// Writes, transactions and session calls of the store per second.
     pub store_writes: f64,
-    /// Size that was reached, from what the stand-ins saw.
+    /// Size that was reached, from the stand-ins' records.
     pub reached: f64,
 }
 
 /// Rows of an experiment.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Report {
-    /// What the size counts.
+    /// Unit of the size.
     pub unit: &'static str,
-    /// One row a size.
+    /// One row per size.
     pub rows: Vec<Row>,
 }
 
@@ -52,7 +52,7 @@
 ];
 
 impl Report {
-    /// Line through each column, with the column's name.
+    /// Line fitted to each column, with the column's name.
     pub fn lines(&self) -> Vec<(&'static str, Line)> {
         let points = |value: fn(&Row) -> f64| -> Vec<(f64, f64)> {
             self.rows
--- a/crates/standin/src/measure/takeover.rs
+++ b/crates/standin/src/measure/takeover.rs
@@ -1,4 +1,4 @@
-//! How long a shard is without an owner that knows all its tasks.
+//! Time from the death of a shard's owner until a new owner knows all running tasks.
 
 use std::fmt;
 use std::time::Instant;
@@ -6,10 +6,13 @@
 use serde::Serialize;
 use snafu::ResultExt;
 
-use super::experiment::{ClientSnafu, MeasureError, Options, SETTLE, TASKS_A_WORKER, fill, worker};
-use super::site::{SHARD, SHARD_LEASE_MS, Site, wait};
+use super::experiment::{
+    ClientSnafu, MeasureError, Options, SETTLE_TIME, TASKS_PER_WORKER, submit_long_tasks,
+    worker_settings,
+};
+use super::testbed::{SHARD, SHARD_LEASE_MS, Testbed, wait_until};
 
-/// Take-over at one size. Times count from the death of the owner, in seconds.
+/// Takeover at one size. Times are in seconds after the owner was killed.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Takeover {
@@ -17,32 +20,32 @@
     pub workers: usize,
     /// Running tasks of the shard.
     pub tasks: usize,
-    /// Until another process owned the shard.
+    /// Time until another process owned the shard.
     pub owned_s: f64,
-    /// Until it knew all running tasks.
+    /// Time until the new owner knew all running tasks.
     pub known_s: f64,
 }
 
-/// Take-overs of an experiment.
+/// Takeovers of an experiment.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Takeovers {
-    /// Lease of a shard, in milliseconds.
+    /// Duration of a shard's lease, in milliseconds.
     pub lease_ms: u64,
-    /// One take-over a size.
+    /// One takeover per size.
     pub rows: Vec<Takeover>,
 }
 
-/// Kills the owner of a shard at each size and times its successor.
+/// Kills the owner of a shard at each size and measures the takeover by its successor.
 ///
 /// # Errors
 ///
-/// When something does not start or does not come about.
-pub async fn take_over(options: &Options) -> Result<Takeovers, MeasureError> {
+/// When a stand-in or daemon does not start, a call fails or a wait times out.
+pub async fn run_takeovers(options: &Options) -> Result<Takeovers, MeasureError> {
     let mut rows = Vec::new();
     for (number, size) in (0..).zip(&options.sizes) {
         let workers = usize::try_from(*size).unwrap_or(usize::MAX);
-        rows.push(time(options, number, workers).await?);
+        rows.push(measure_takeover(options, number, workers).await?);
     }
     Ok(Takeovers {
         lease_ms: SHARD_LEASE_MS,
@@ -50,33 +53,37 @@
     })
 }
 
-async fn time(options: &Options, number: u8, workers: usize) -> Result<Takeover, MeasureError> {
-    let tasks = workers * TASKS_A_WORKER;
-    let mut site = Site::start(number, (0..workers).map(worker).collect()).await?;
-    site.run(&options.program).await?;
-    fill(&site, tasks).await?;
-    site.run_heir(&options.program).await?;
-    tokio::time::sleep(SETTLE).await;
-    let operator = site.operator()?;
+async fn measure_takeover(
+    options: &Options,
+    number: u8,
+    workers: usize,
+) -> Result<Takeover, MeasureError> {
+    let tasks = workers * TASKS_PER_WORKER;
+    let mut testbed = Testbed::start(number, (0..workers).map(worker_settings).collect()).await?;
+    testbed.start_daemons(&options.program).await?;
+    submit_long_tasks(&testbed, tasks).await?;
+    testbed.start_standby(&options.program).await?;
+    tokio::time::sleep(SETTLE_TIME).await;
+    let operator = testbed.operator_client()?;
     let before = operator.shard(SHARD).await.context(ClientSnafu)?;
-    let killed = Instant::now();
-    site.kill_owner();
+    let killed_at = Instant::now();
+    testbed.kill_owner();
     let mut owned_s = 0.0;
-    wait("a new owner that knows all tasks", async || {
+    wait_until("a new owner knows all running tasks", async || {
         let status = operator.shard(SHARD).await.unwrap_or_default();
-        let taken = status["owner"].is_string() && status["owner"] != before["owner"];
-        if taken && owned_s == 0.0 {
-            owned_s = killed.elapsed().as_secs_f64();
+        let replaced = status["owner"].is_string() && status["owner"] != before["owner"];
+        if replaced && owned_s == 0.0 {
+            owned_s = killed_at.elapsed().as_secs_f64();
         }
         let running = status["running"].as_u64().unwrap_or(0);
-        taken && usize::try_from(running).is_ok_and(|running| running >= tasks)
+        replaced && usize::try_from(running).is_ok_and(|running| running >= tasks)
     })
     .await?;
     Ok(Takeover {
         workers,
         tasks,
         owned_s,
-        known_s: killed.elapsed().as_secs_f64(),
+        known_s: killed_at.elapsed().as_secs_f64(),
     })
 }
 
--- a/crates/standin/src/measure/site.rs
+++ b/crates/standin/src/measure/testbed.rs
@@ -1,4 +1,4 @@
-//! One entry host with its daemons as processes, and its stand-ins.
+//! Testbed of an experiment: daemons as separate processes, and the stand-ins.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -12,35 +12,35 @@
 use verbenahitch::settings::parse_declarations;
 
 use super::experiment::{
-    ClientSnafu, FileSnafu, LateSnafu, MeasureError, ProcessSnafu, StandinSnafu,
+    ClientSnafu, FileSnafu, MeasureError, ProcessSnafu, StandinSnafu, TimeoutSnafu,
 };
 use crate::platform::{Parts, Platform};
 use crate::store::Limits;
 use crate::worker;
 
-/// Longest time that a condition may take.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Timeout for a condition.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Time between two looks at a condition.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval between checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 const TEAM_TOKEN: &str = "measured-team";
 
-/// The site's only shard.
+/// The only shard.
 pub(super) const SHARD: &str = "a-0";
 
-/// Lease of the shard, in milliseconds.
+/// Duration of the shard's lease, in milliseconds.
 pub(super) const SHARD_LEASE_MS: u64 = 10_000;
 
-/// Running site; its processes end when it is dropped.
-pub(super) struct Site {
+/// Running testbed; dropping it kills its processes and removes its files.
+pub(super) struct Testbed {
     pub(super) platform: Platform,
     folder: PathBuf,
     network: [u8; 2],
     daemons: Vec<Child>,
 }
 
-impl Site {
+impl Testbed {
     /// Starts the stand-ins with `workers`, without daemons.
     pub(super) async fn start(
         number: u8,
@@ -55,30 +55,30 @@
         let pid = std::process::id();
         let folder = std::env::temp_dir().join(format!("verbenahitch-measure-{pid}-{number}"));
         std::fs::create_dir_all(&folder).context(FileSnafu { path: &folder })?;
-        let site = Self {
+        let testbed = Self {
             platform,
             folder,
             network: [u8::try_from(pid % 100).unwrap_or(0) + 10, number],
             daemons: Vec::new(),
         };
-        site.write("peers.token", "measured-peers")?;
-        site.write("operator.token", "measured-operator")?;
-        site.write("team.token", TEAM_TOKEN)?;
-        Ok(site)
+        testbed.write_file("peers.token", "measured-peers")?;
+        testbed.write_file("operator.token", "measured-operator")?;
+        testbed.write_file("team.token", TEAM_TOKEN)?;
+        Ok(testbed)
     }
 
-    /// Starts the daemons, puts the declarations in force and waits for an owner.
-    pub(super) async fn run(&mut self, program: &Path) -> Result<(), MeasureError> {
+    /// Starts the daemons, applies the declarations and waits until the shard has an owner.
+    pub(super) async fn start_daemons(&mut self, program: &Path) -> Result<(), MeasureError> {
         for daemon in ["scheduler", "gateway"] {
             self.spawn(program, daemon, 1)?;
         }
-        let operator = self.operator()?;
+        let operator = self.operator_client()?;
         let declarations = declarations();
-        wait("the declarations", async || {
+        wait_until("the declarations are applied", async || {
             operator.apply(&declarations, 0).await.is_ok()
         })
         .await?;
-        wait("an owner", async || {
+        wait_until("the shard has an owner", async || {
             let status = operator.status().await.unwrap_or_default();
             status["shards"]
                 .as_array()
@@ -87,11 +87,11 @@
         .await
     }
 
-    /// Starts a second scheduler and waits until the first entry host hears it.
-    pub(super) async fn run_heir(&mut self, program: &Path) -> Result<(), MeasureError> {
+    /// Starts a second scheduler and waits until the first entry host lists it as a member.
+    pub(super) async fn start_standby(&mut self, program: &Path) -> Result<(), MeasureError> {
         self.spawn(program, "scheduler", 2)?;
-        let operator = self.operator()?;
-        wait("the second scheduler is heard", async || {
+        let operator = self.operator_client()?;
+        wait_until("the second scheduler is live", async || {
             let status = operator.status().await.unwrap_or_default();
             status["members"]
                 .as_array()
@@ -110,7 +110,7 @@
 
     fn spawn(&mut self, program: &Path, daemon: &str, host: u8) -> Result<(), MeasureError> {
         let settings = self.settings(host).to_string();
-        let settings = self.write(&format!("entry-{host}.jsonc"), &settings)?;
+        let settings = self.write_file(&format!("entry-{host}.jsonc"), &settings)?;
         let child = Command::new(program)
             .arg(daemon)
             .arg(&settings)
@@ -121,37 +121,37 @@
         Ok(())
     }
 
-    /// Scheduler and gateway.
+    /// Process IDs of the daemons in the order of their starts: scheduler, gateway, any standby.
     pub(super) fn pids(&self) -> Vec<u32> {
         self.daemons.iter().map(Child::id).collect()
     }
 
     /// Client of the submitters' interface.
-    pub(super) fn team(&self) -> Result<Client, MeasureError> {
+    pub(super) fn team_client(&self) -> Result<Client, MeasureError> {
         self.client("team.token")
     }
 
     /// Address that callers use.
     pub(super) fn callers(&self) -> SocketAddr {
-        self.at(1, 8_000)
+        self.address(1, 8_000)
     }
 
     /// Client of the operators' interface.
-    pub(super) fn operator(&self) -> Result<Client, MeasureError> {
+    pub(super) fn operator_client(&self) -> Result<Client, MeasureError> {
         self.client("operator.token")
     }
 
     fn client(&self, token: &str) -> Result<Client, MeasureError> {
         let token = self.folder.join(token);
-        Client::new(self.at(1, 8_001), Some(&token)).context(ClientSnafu)
+        Client::new(self.address(1, 8_001), Some(&token)).context(ClientSnafu)
     }
 
-    fn at(&self, host: u8, port: u16) -> SocketAddr {
+    fn address(&self, host: u8, port: u16) -> SocketAddr {
         let [second, third] = self.network;
         SocketAddr::from((Ipv4Addr::new(127, second, third, host), port))
     }
 
-    fn write(&self, name: &str, text: &str) -> Result<PathBuf, MeasureError> {
+    fn write_file(&self, name: &str, text: &str) -> Result<PathBuf, MeasureError> {
         let path = self.folder.join(name);
         std::fs::write(&path, text).context(FileSnafu { path: &path })?;
         Ok(path)
@@ -168,17 +168,17 @@
             },
             "peers": {
                 "token-file": file("peers.token"),
-                "seeds": [{"address": self.at(1, 7_001)}, {"address": self.at(1, 7_002)}],
+                "seeds": [{"address": self.address(1, 7_001)}, {"address": self.address(1, 7_002)}],
             },
             "gateway": {
-                "callers": self.at(host, 8_000),
-                "operators": self.at(host, 8_001),
-                "metrics": self.at(host, 8_002),
-                "peers": self.at(host, 7_001),
+                "callers": self.address(host, 8_000),
+                "operators": self.address(host, 8_001),
+                "metrics": self.address(host, 8_002),
+                "peers": self.address(host, 7_001),
             },
             "scheduler": {
-                "metrics": self.at(host, 8_003),
-                "peers": self.at(host, 7_002),
+                "metrics": self.address(host, 8_003),
+                "peers": self.address(host, 7_002),
                 "shard-lease-ms": SHARD_LEASE_MS,
             },
             "operators": [{"name": "operator", "token-file": file("operator.token")}],
@@ -187,7 +187,7 @@
     }
 }
 
-impl Drop for Site {
+impl Drop for Testbed {
     fn drop(&mut self) {
         for daemon in &mut self.daemons {
             daemon.kill().ok();
@@ -198,16 +198,16 @@
 }
 
 /// Waits until `condition` holds.
-pub(super) async fn wait(
+pub(super) async fn wait_until(
     what: &'static str,
     mut condition: impl AsyncFnMut() -> bool,
 ) -> Result<(), MeasureError> {
     let start = Instant::now();
     while !condition().await {
-        if start.elapsed() > PATIENCE {
-            return LateSnafu { what }.fail();
+        if start.elapsed() > WAIT_TIMEOUT {
+            return TimeoutSnafu { what }.fail();
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
@@ -233,5 +233,5 @@
         }},
         "zones": {"a": {"state": "in", "ramp-ms": 0}}
     });
-    parse_declarations("measured", &document.to_string()).expect("the document has no faults")
+    parse_declarations("measured", &document.to_string()).expect("the declarations are valid")
 }
--- a/crates/standin/src/measure/usage.rs
+++ b/crates/standin/src/measure/usage.rs
@@ -1,18 +1,18 @@
-//! What the system says of processes and of the loopback interface.
+//! Resource usage of processes and of the loopback interface, from `/proc`.
 
 use std::fs;
 use std::time::Instant;
 
-/// Ticks a second in which the system counts processor time.
-const TICKS_A_SECOND: f64 = 100.0;
+/// Clock ticks per second in the CPU times of `/proc`.
+const TICKS_PER_SECOND: f64 = 100.0;
 
-/// Position of the user time among the fields of `/proc/PID/stat` behind the name.
+/// Index of the user time among the fields of `/proc/PID/stat` after the process name.
 const USER_TIME_FIELD: usize = 11;
 
-/// Kibibytes in a mebibyte.
-const KIB_A_MIB: f64 = 1_024.0;
+/// Kibibytes per mebibyte.
+const KIB_PER_MIB: f64 = 1_024.0;
 
-/// Counters of processes and of the interface at an instant.
+/// Counters of processes and of the loopback interface at an instant.
 #[derive(Clone, Debug)]
 pub(super) struct Sample {
     at: Instant,
@@ -20,15 +20,15 @@
     bytes: u64,
 }
 
-/// Use between two samples.
+/// Usage between two samples.
 #[derive(Clone, Debug)]
-pub(super) struct Use {
+pub(super) struct Usage {
     /// Time between the samples, in seconds.
     pub(super) seconds: f64,
-    /// Processor time of each process, in percent of a core.
+    /// CPU time of each process, in percent of a core.
     pub(super) cpu_percent: Vec<f64>,
-    /// Bytes of the interface a second.
-    pub(super) bytes: f64,
+    /// Bytes per second over the loopback interface.
+    pub(super) bytes_per_second: f64,
 }
 
 impl Sample {
@@ -41,14 +41,14 @@
         }
     }
 
-    /// Use from this sample to a later one of the same processes.
-    pub(super) fn until(&self, later: &Self) -> Use {
+    /// Usage between this sample and a later one of the same processes.
+    pub(super) fn usage_until(&self, later: &Self) -> Usage {
         let seconds = later.at.duration_since(self.at).as_secs_f64();
         let pairs = self.cpu_s.iter().zip(&later.cpu_s);
-        Use {
+        Usage {
             seconds,
             cpu_percent: pairs.map(|(a, b)| 100.0 * (b - a) / seconds).collect(),
-            bytes: (later.bytes - self.bytes) as f64 / seconds,
+            bytes_per_second: (later.bytes - self.bytes) as f64 / seconds,
         }
     }
 }
@@ -58,7 +58,7 @@
     let status = fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
     let kib: Option<f64> = line.and_then(|line| line.split_whitespace().nth(1)?.parse().ok());
-    kib.unwrap_or(0.0) / KIB_A_MIB
+    kib.unwrap_or(0.0) / KIB_PER_MIB
 }
 
 fn cpu_seconds(pid: u32) -> f64 {
@@ -66,7 +66,7 @@
     let fields = stat.rsplit_once(") ").map_or("", |(_, fields)| fields);
     let times = fields.split(' ').skip(USER_TIME_FIELD).take(2);
     let ticks: f64 = times.filter_map(|ticks| ticks.parse::<f64>().ok()).sum();
-    ticks / TICKS_A_SECOND
+    ticks / TICKS_PER_SECOND
 }
 
 /// Bytes that the loopback interface has received.
--- a/testsuite/tests/testsuite/standin/demo.rs
+++ b/testsuite/tests/testsuite/standin/demo.rs
@@ -1,4 +1,4 @@
-//! The demo of each deployment keeps every promise and finishes its batch.
+//! The demo of each deployment violates no guarantee and completes its batch jobs.
 
 use std::process::Command;
 
@@ -13,7 +13,7 @@
 
 #[test_case(Demo { deployment: "chikugo", once: "discount-push", cancelled: "sales-archive" }; "chikugo")]
 #[test_case(Demo { deployment: "kilele", once: "pass-charge", cancelled: "demand-forecast" }; "kilele")]
-fn a_demo_keeps_its_promises(demo: Demo) {
+fn a_demo_violates_no_guarantee_and_completes_its_jobs(demo: Demo) {
     let output = Command::new(env!("CARGO_BIN_EXE_testsuite-standin"))
         .args(["demo", "--deployment", demo.deployment])
         .args(["--seconds", "6", "--seed", "7", "--json"])
--- a/testsuite/tests/testsuite/standin/examples.rs
+++ b/testsuite/tests/testsuite/standin/examples.rs
@@ -1,4 +1,4 @@
-//! The examples of both deployments hold together.
+//! The example files and fixtures of each deployment are consistent with each other.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -23,20 +23,20 @@
     let folder = root().join("examples").join(name);
     let files = std::fs::read_dir(folder).unwrap();
     let files = files.map(|file| file.unwrap().path());
-    let entry = |file: &PathBuf| {
+    let is_entry = |file: &PathBuf| {
         file.file_name()
             .unwrap()
             .to_string_lossy()
             .starts_with("entry-")
     };
-    let mut files: Vec<PathBuf> = files.filter(entry).collect();
+    let mut files: Vec<PathBuf> = files.filter(is_entry).collect();
     files.sort();
     files.iter().map(|file| load(file).unwrap()).collect()
 }
 
 #[test_case(Example { name: "chikugo", zones: 4, workers: 50, racks: 10 }; "chikugo")]
 #[test_case(Example { name: "kilele", zones: 3, workers: 65, racks: 6 }; "kilele")]
-fn an_example_holds_together(example: Example) {
+fn example_files_are_consistent(example: Example) {
     let file = root()
         .join("examples")
         .join(example.name)
@@ -47,8 +47,8 @@
 
     let hosts = entry_hosts(example.name);
     assert_eq!(hosts.len(), 7);
-    let served: BTreeSet<String> = hosts.iter().map(|host| host.zone.clone()).collect();
-    assert_eq!(served, zones);
+    let host_zones: BTreeSet<String> = hosts.iter().map(|host| host.zone.clone()).collect();
+    assert_eq!(host_zones, zones);
     let addresses: BTreeSet<_> = hosts.iter().flat_map(addresses).collect();
     assert_eq!(addresses.len(), 7 * 6);
     let names: BTreeSet<_> = hosts.iter().map(|host| &host.name).collect();
@@ -63,15 +63,15 @@
     assert_eq!(workers.len(), example.workers);
     let racks: BTreeSet<_> = workers.iter().map(|worker| &worker.rack).collect();
     assert_eq!(racks.len(), example.racks);
-    let of: BTreeSet<String> = workers.iter().map(|worker| worker.zone.clone()).collect();
-    assert_eq!(of, zones);
+    let worker_zones: BTreeSet<String> = workers.iter().map(|worker| worker.zone.clone()).collect();
+    assert_eq!(worker_zones, zones);
     let paths = declarations
         .kinds
         .values()
         .map(|kind| kind.path.trim_matches('/'));
     let paths: BTreeSet<&str> = paths.collect();
-    let timed: BTreeSet<&str> = pool.service.keys().map(String::as_str).collect();
-    assert_eq!(paths, timed);
+    let service_paths: BTreeSet<&str> = pool.service.keys().map(String::as_str).collect();
+    assert_eq!(paths, service_paths);
     let once = declarations.kinds.values().filter(|kind| {
         let profile = &declarations.profiles[&kind.profile];
         !profile.idempotent
--- a/testsuite/tests/testsuite/standin/fault.rs
+++ b/testsuite/tests/testsuite/standin/fault.rs
@@ -1,4 +1,4 @@
-//! Each fault, shown by what the adapters see.
+//! Effect of each fault on the adapters' calls.
 
 use std::time::Duration;
 
@@ -11,13 +11,13 @@
 use verbenahitch_standin::store::Store;
 use verbenahitch_standin::worker;
 
-/// Time limit of calls that are expected to get no answer.
-const SHORT_MS: u64 = 200;
-/// Time limit of calls that are expected to be answered.
-const LONG_MS: u64 = 10_000;
+/// Timeout of calls that are expected to get no answer.
+const SHORT_TIMEOUT_MS: u64 = 200;
+/// Timeout of calls that are expected to be answered.
+const LONG_TIMEOUT_MS: u64 = 10_000;
 
 async fn start() -> Platform {
-    // Not the address of outgoing connections, which could take its port while it is stopped.
+    // A stopped store frees its port, which an outgoing connection from the same address could take.
     let address = "127.9.0.4:0".parse().unwrap();
     let parts = Parts {
         zones: vec!["a".to_owned(), "b".to_owned()],
@@ -31,35 +31,37 @@
     Client::new(&store.address().to_string(), timeout_ms)
 }
 
-async fn until(condition: impl Fn() -> bool) {
+async fn wait_until(condition: impl Fn() -> bool) {
     while !condition() {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
 }
 
-struct Held {
+struct HeldCall {
     fault: Fault,
     end: Fault,
 }
 
-#[test_case(Held { fault: Fault::Freeze, end: Fault::Thaw }; "frozen")]
-#[test_case(Held { fault: Fault::Cut { zone: None }, end: Fault::Mend }; "cut")]
-#[test_case(Held { fault: Fault::Freeze, end: Fault::Clear }; "cleared")]
+#[test_case(HeldCall { fault: Fault::Freeze, end: Fault::Thaw }; "frozen")]
+#[test_case(HeldCall { fault: Fault::Cut { zone: None }, end: Fault::Mend }; "cut")]
+#[test_case(HeldCall { fault: Fault::Freeze, end: Fault::Clear }; "cleared")]
 #[tokio::test]
-async fn a_held_call_gets_no_answer_and_is_carried_out_later(case: Held) {
+async fn a_held_call_times_out_and_takes_effect_later(case: HeldCall) {
     let platform = start().await;
     let store = platform.store();
     store.faults().apply(case.fault);
-    let call = client(store, SHORT_MS).cas("key", Vec::new(), 0).await;
+    let call = client(store, SHORT_TIMEOUT_MS)
+        .cas("key", Vec::new(), 0)
+        .await;
     assert!(
         matches!(call, Err(StoreError::Unanswered { .. })),
         "{call:?}"
     );
     assert_eq!(store.peek("key"), None);
     store.faults().apply(case.end);
-    until(|| store.peek("key").is_some()).await;
+    wait_until(|| store.peek("key").is_some()).await;
     assert!(
-        !client(store, LONG_MS)
+        !client(store, LONG_TIMEOUT_MS)
             .cas("key", Vec::new(), 0)
             .await
             .unwrap()
@@ -67,36 +69,44 @@
 }
 
 #[tokio::test]
-async fn a_cut_zone_alone_is_not_heard() {
+async fn only_the_cut_zone_gets_no_answer() {
     let platform = start().await;
     let store = platform.store();
     let zone = Some("a".to_owned());
     store.faults().apply(Fault::Cut { zone });
     let at = |zone: &str, timeout_ms| Client::new(&store.address_for(zone).to_string(), timeout_ms);
-    let call = at("a", SHORT_MS).get("key").await;
+    let call = at("a", SHORT_TIMEOUT_MS).get("key").await;
     assert!(
         matches!(call, Err(StoreError::Unanswered { .. })),
         "{call:?}"
     );
-    assert_eq!(at("b", LONG_MS).get("key").await, Ok(None));
-    assert_eq!(client(store, LONG_MS).get("key").await, Ok(None));
+    assert_eq!(at("b", LONG_TIMEOUT_MS).get("key").await, Ok(None));
+    assert_eq!(client(store, LONG_TIMEOUT_MS).get("key").await, Ok(None));
     store.faults().apply(Fault::Mend);
-    assert_eq!(at("a", LONG_MS).get("key").await, Ok(None));
+    assert_eq!(at("a", LONG_TIMEOUT_MS).get("key").await, Ok(None));
 }
 
 #[tokio::test]
-async fn a_slow_call_takes_effect_after_its_time_limit() {
+async fn a_slow_call_takes_effect_after_its_timeout() {
     let platform = start().await;
     let store = platform.store();
-    let delay_ms = 3 * SHORT_MS;
+    let delay_ms = 3 * SHORT_TIMEOUT_MS;
     store.faults().apply(Fault::Slow { delay_ms });
-    let call = client(store, SHORT_MS).cas("key", Vec::new(), 0).await;
+    let call = client(store, SHORT_TIMEOUT_MS)
+        .cas("key", Vec::new(), 0)
+        .await;
     assert!(
         matches!(call, Err(StoreError::Unanswered { .. })),
         "{call:?}"
     );
-    until(|| store.peek("key").is_some()).await;
-    assert!(client(store, LONG_MS).get("key").await.unwrap().is_some());
+    wait_until(|| store.peek("key").is_some()).await;
+    assert!(
+        client(store, LONG_TIMEOUT_MS)
+            .get("key")
+            .await
+            .unwrap()
+            .is_some()
+    );
 }
 
 #[tokio::test]
@@ -104,9 +114,11 @@
     let platform = start().await;
     let store = platform.store();
     store.faults().apply(Fault::Lose { answers: 1 });
-    let reader = client(store, LONG_MS);
+    let reader = client(store, LONG_TIMEOUT_MS);
     assert_eq!(reader.get("key").await, Ok(None));
-    let call = client(store, SHORT_MS).cas("key", Vec::new(), 0).await;
+    let call = client(store, SHORT_TIMEOUT_MS)
+        .cas("key", Vec::new(), 0)
+        .await;
     assert!(
         matches!(call, Err(StoreError::Unanswered { .. })),
         "{call:?}"
@@ -116,22 +128,22 @@
 }
 
 #[tokio::test]
-async fn open_connections_go_silent_while_new_ones_work() {
+async fn silence_stops_open_connections_but_not_new_ones() {
     let platform = start().await;
     let store = platform.store();
-    let kept = client(store, 5 * SHORT_MS);
-    until_read(&kept).await;
+    let kept = client(store, 5 * SHORT_TIMEOUT_MS);
+    read_until_answered(&kept).await;
     store.faults().apply(Fault::Silence);
     let call = kept.get("key").await;
     assert!(
         matches!(call, Err(StoreError::Unanswered { .. })),
         "{call:?}"
     );
-    assert_eq!(client(store, LONG_MS).get("key").await, Ok(None));
-    until_read(&kept).await;
+    assert_eq!(client(store, LONG_TIMEOUT_MS).get("key").await, Ok(None));
+    read_until_answered(&kept).await;
 }
 
-async fn until_read(client: &Client) {
+async fn read_until_answered(client: &Client) {
     while client.get("key").await.is_err() {}
 }
 
@@ -140,7 +152,7 @@
     let platform = start().await;
     let store = platform.store();
     assert!(
-        client(store, LONG_MS)
+        client(store, LONG_TIMEOUT_MS)
             .cas("key", Vec::new(), 0)
             .await
             .unwrap()
@@ -148,29 +160,31 @@
     store.stop();
     // The port closes a moment after the command.
     loop {
-        match client(store, LONG_MS).get("key").await {
+        match client(store, LONG_TIMEOUT_MS).get("key").await {
             Err(StoreError::Unreachable { .. }) => break,
             _ => tokio::task::yield_now().await,
         }
     }
     store.resume().await.unwrap();
-    let entry = client(store, LONG_MS).get("key").await.unwrap();
+    let entry = client(store, LONG_TIMEOUT_MS).get("key").await.unwrap();
     assert!(entry.is_some());
 }
 
 #[tokio::test]
-async fn a_worker_starts_what_it_was_sent_though_its_answer_is_lost() {
+async fn a_worker_starts_a_run_although_its_answer_is_lost() {
     let platform = start().await;
     let worker = &platform.workers()[0];
     worker.control_faults().apply(Fault::Lose { answers: 1 });
     let address = worker.record().control;
-    let lost = WorkerClient::new(SHORT_MS).sync(&address, &sync(1)).await;
+    let lost = WorkerClient::new(SHORT_TIMEOUT_MS)
+        .sync(&address, &sync(1))
+        .await;
     assert!(
         matches!(lost, Err(SyncError::Unanswered { .. })),
         "{lost:?}"
     );
     assert_eq!(worker.history().runs.len(), 1);
-    let reply = WorkerClient::new(LONG_MS)
+    let reply = WorkerClient::new(LONG_TIMEOUT_MS)
         .sync(&address, &sync(2))
         .await
         .unwrap();
@@ -178,7 +192,7 @@
 }
 
 #[tokio::test]
-async fn the_control_port_brings_faults_about() {
+async fn the_control_port_applies_faults() {
     let platform = start().await;
     let control = platform.addresses().control;
     let http = reqwest::Client::new();
@@ -198,7 +212,12 @@
             .status()
             .is_success()
     );
-    assert!(client(platform.store(), SHORT_MS).get("key").await.is_err());
+    assert!(
+        client(platform.store(), SHORT_TIMEOUT_MS)
+            .get("key")
+            .await
+            .is_err()
+    );
     assert!(
         post("/store/fault", thaw)
             .await
@@ -206,7 +225,12 @@
             .status()
             .is_success()
     );
-    assert!(client(platform.store(), LONG_MS).get("key").await.is_ok());
+    assert!(
+        client(platform.store(), LONG_TIMEOUT_MS)
+            .get("key")
+            .await
+            .is_ok()
+    );
     let freeze = r#"{"part":"control","fault":"freeze"}"#;
     assert!(
         post("/workers/worker/fault", freeze)
@@ -217,7 +241,7 @@
     );
     let address = platform.workers()[0].record().control;
     assert!(
-        WorkerClient::new(SHORT_MS)
+        WorkerClient::new(SHORT_TIMEOUT_MS)
             .sync(&address, &sync(1))
             .await
             .is_err()
--- a/testsuite/tests/testsuite/standin/history.rs
+++ b/testsuite/tests/testsuite/standin/history.rs
@@ -8,7 +8,7 @@
     Violation, WorkerHistory, check,
 };
 
-const SIZE: Resources = Resources::new(4, 4_096);
+const CAPACITY: Resources = Resources::new(4, 4_096);
 
 fn task() -> TaskId {
     TaskId {
@@ -41,7 +41,7 @@
     WorkerHistory {
         worker: name.to_owned(),
         zone: name[..1].to_owned(),
-        capacity: SIZE,
+        capacity: CAPACITY,
         runs,
         requests: Vec::new(),
     }
@@ -56,48 +56,48 @@
     }
 }
 
-struct Tasks {
+struct TaskRuns {
     first: RunRecord,
     second: RunRecord,
-    found: Option<Violation>,
+    expected: Option<Violation>,
 }
 
-#[test_case(Tasks {
+#[test_case(TaskRuns {
     first: run(100, Some((200, Some(EndKind::Evicted)))),
     second: run(200, None),
-    found: None,
+    expected: None,
 }; "resumed")]
-#[test_case(Tasks {
+#[test_case(TaskRuns {
     first: run(100, Some((200, Some(EndKind::Evicted)))),
     second: run(190, None),
-    found: Some(Violation::TwoPlaces { task: task(), first: "a0".into(), second: "b0".into(), at: 190 }),
+    expected: Some(Violation::TwoPlaces { task: task(), first: "a0".into(), second: "b0".into(), at: 190 }),
 }; "resumed too early")]
-#[test_case(Tasks {
+#[test_case(TaskRuns {
     first: run(100, None),
     second: run(9_000, None),
-    found: Some(Violation::TwoPlaces { task: task(), first: "a0".into(), second: "b0".into(), at: 9_000 }),
-}; "still running")]
-#[test_case(Tasks {
+    expected: Some(Violation::TwoPlaces { task: task(), first: "a0".into(), second: "b0".into(), at: 9_000 }),
+}; "still running elsewhere")]
+#[test_case(TaskRuns {
     first: run(100, Some((200, Some(EndKind::Done)))),
     second: run(300, None),
-    found: Some(Violation::StartedAfterEnd { task: task(), worker: "b0".into() }),
-}; "finished")]
-#[test_case(Tasks {
+    expected: Some(Violation::StartedAfterEnd { task: task(), worker: "b0".into() }),
+}; "completed")]
+#[test_case(TaskRuns {
     first: run(100, Some((200, None))),
     second: run(300, None),
-    found: Some(Violation::StartedAfterLoss { task: task(), worker: "b0".into() }),
+    expected: Some(Violation::StartedAfterLoss { task: task(), worker: "b0".into() }),
 }; "lost")]
-#[test_case(Tasks {
+#[test_case(TaskRuns {
     first: RunRecord { profile: "label".into(), ..run(100, Some((200, None))) },
     second: RunRecord { profile: "label".into(), ..run(300, None) },
-    found: None,
+    expected: None,
 }; "lost but idempotent")]
-#[test_case(Tasks {
+#[test_case(TaskRuns {
     first: run(100, Some((200, Some(EndKind::Lapsed)))),
     second: run(300, None),
-    found: None,
+    expected: None,
 }; "lapsed")]
-fn runs_of_one_task(case: Tasks) {
+fn violations_between_runs_of_one_task_are_found(case: TaskRuns) {
     let session = Session {
         workers: vec![
             worker("a0", vec![case.first]),
@@ -105,14 +105,14 @@
         ],
         ..Session::default()
     };
-    assert_eq!(check(&session, &rules()), Vec::from_iter(case.found));
+    assert_eq!(check(&session, &rules()), Vec::from_iter(case.expected));
 }
 
-#[test_case(EndMemory::Kept, false, true; "remembered")]
-#[test_case(EndMemory::Told, false, true; "told")]
-#[test_case(EndMemory::Told, true, false; "told but perhaps not heard")]
-#[test_case(EndMemory::Untold, false, false; "forgotten")]
-fn a_start_after_an_end(memory: EndMemory, lossy: bool, found: bool) {
+#[test_case(EndMemory::Kept, false, true; "still recorded")]
+#[test_case(EndMemory::Told, false, true; "reported")]
+#[test_case(EndMemory::Told, true, false; "reported but perhaps not received")]
+#[test_case(EndMemory::Untold, false, false; "lost before it was reported")]
+fn a_start_after_a_known_end_is_a_violation(memory: EndMemory, lossy: bool, is_violation: bool) {
     let mut first = run(100, Some((200, Some(EndKind::Done))));
     first.end.as_mut().unwrap().memory = memory;
     let mut second = run(300, None);
@@ -124,14 +124,14 @@
         ..Session::default()
     };
     let rules = Rules { lossy, ..rules() };
-    assert_eq!(!check(&session, &rules).is_empty(), found);
+    assert_eq!(!check(&session, &rules).is_empty(), is_violation);
 }
 
 #[test_case(&[(10, Some(20)), (10, Some(20)), (10, Some(20)), (10, Some(20))], None; "full")]
 #[test_case(&[(10, Some(20)), (10, None), (10, None), (10, None), (20, None)], None; "one after the other")]
 #[test_case(&[(10, Some(20)), (10, None), (10, None), (10, None), (19, None)], Some(19); "too many")]
 #[test_case(&[(10, Some(10)), (10, Some(10)), (10, None), (10, None), (10, None), (10, None)], None; "failed at once")]
-fn commitment_of_a_worker(runs: &[(u64, Option<u64>)], at: Option<u64>) {
+fn overcommitment_of_a_worker_is_a_violation(runs: &[(u64, Option<u64>)], at: Option<u64>) {
     let runs = runs.iter().enumerate().map(|(index, (start, end))| {
         let mut run = run(*start, end.map(|end| (end, Some(EndKind::Done))));
         run.task.index = u32::try_from(index).unwrap();
@@ -150,9 +150,9 @@
 }
 
 #[test_case(5_999, None; "within the grace")]
-#[test_case(6_000, Some(5_000); "too late")]
-#[test_case(20_000, None; "back")]
-fn starts_in_a_zone_that_was_out(start: u64, late_ms: Option<u64>) {
+#[test_case(6_000, Some(5_000); "after the grace")]
+#[test_case(20_000, None; "zone is back in")]
+fn a_start_in_a_zone_that_is_out_is_a_violation_after_the_grace(start: u64, late_ms: Option<u64>) {
     let session = Session {
         workers: vec![worker("a0", vec![run(start, None)])],
         outages: vec![Outage {
@@ -171,11 +171,11 @@
     assert_eq!(check(&session, &rules()), Vec::from_iter(expected));
 }
 
-struct Requests {
-    /// Kind, call and key of each request that ran.
+struct RequestRuns {
+    /// Kind, call ID and idempotency key of each request that ran.
     ran: &'static [(&'static str, &'static str, Option<&'static str>)],
     outcome: CallOutcome,
-    found: Option<Violation>,
+    expected: Option<Violation>,
 }
 
 fn answered(call_id: &str, whole: bool) -> CallOutcome {
@@ -185,41 +185,41 @@
     }
 }
 
-#[test_case(Requests { ran: &[("quote", "c1", None)], outcome: answered("c1", true), found: None }; "answered")]
-#[test_case(Requests { ran: &[("quote", "c1", None), ("quote", "c1", None)], outcome: answered("c1", true), found: None }; "idempotent twice")]
-#[test_case(Requests { ran: &[], outcome: CallOutcome::NotRun, found: None }; "refused")]
-#[test_case(Requests { ran: &[("quote", "c1", None)], outcome: CallOutcome::Unknown, found: None }; "unknown")]
-#[test_case(Requests {
+#[test_case(RequestRuns { ran: &[("quote", "c1", None)], outcome: answered("c1", true), expected: None }; "answered")]
+#[test_case(RequestRuns { ran: &[("quote", "c1", None), ("quote", "c1", None)], outcome: answered("c1", true), expected: None }; "idempotent and ran twice")]
+#[test_case(RequestRuns { ran: &[], outcome: CallOutcome::NotRun, expected: None }; "refused")]
+#[test_case(RequestRuns { ran: &[("quote", "c1", None)], outcome: CallOutcome::Unknown, expected: None }; "unknown")]
+#[test_case(RequestRuns {
     ran: &[("discount", "c1", Some("k")), ("discount", "c2", Some("k"))],
     outcome: CallOutcome::Unknown,
-    found: Some(Violation::RanTwice { kind: "discount".into(), key: "k".into(), runs: 2 }),
-}; "same key twice")]
-#[test_case(Requests {
+    expected: Some(Violation::RanTwice { kind: "discount".into(), key: "k".into(), runs: 2 }),
+}; "ran twice with one key")]
+#[test_case(RequestRuns {
     ran: &[("discount", "c1", None), ("discount", "c1", None)],
     outcome: CallOutcome::Unknown,
-    found: Some(Violation::RanTwice { kind: "discount".into(), key: "c1".into(), runs: 2 }),
-}; "same call twice")]
-#[test_case(Requests {
+    expected: Some(Violation::RanTwice { kind: "discount".into(), key: "c1".into(), runs: 2 }),
+}; "ran twice with one call ID")]
+#[test_case(RequestRuns {
     ran: &[("quote", "c1", None)],
     outcome: answered("c2", true),
-    found: Some(Violation::WrongAnswer { call_id: "c1".into(), got: "c2".into(), whole: true }),
-}; "crossed")]
-#[test_case(Requests {
+    expected: Some(Violation::WrongAnswer { call_id: "c1".into(), got: "c2".into(), whole: true }),
+}; "answer to another call")]
+#[test_case(RequestRuns {
     ran: &[("quote", "c1", None)],
     outcome: answered("c1", false),
-    found: Some(Violation::WrongAnswer { call_id: "c1".into(), got: "c1".into(), whole: false }),
+    expected: Some(Violation::WrongAnswer { call_id: "c1".into(), got: "c1".into(), whole: false }),
 }; "truncated")]
-#[test_case(Requests {
+#[test_case(RequestRuns {
     ran: &[("quote", "c1", None)],
     outcome: CallOutcome::NotRun,
-    found: Some(Violation::RanAfterAll { call_id: "c1".into(), worker: "a0".into() }),
-}; "untrue refusal")]
-#[test_case(Requests {
+    expected: Some(Violation::RanAfterAll { call_id: "c1".into(), worker: "a0".into() }),
+}; "refused but ran")]
+#[test_case(RequestRuns {
     ran: &[],
     outcome: answered("c1", true),
-    found: Some(Violation::RanNowhere { call_id: "c1".into() }),
-}; "made up")]
-fn one_call(case: Requests) {
+    expected: Some(Violation::RanNowhere { call_id: "c1".into() }),
+}; "answered but never ran")]
+fn an_answer_that_contradicts_the_runs_is_a_violation(case: RequestRuns) {
     let ran = case.ran.iter().map(|(kind, call_id, key)| RequestRecord {
         kind: (*kind).to_owned(),
         request_id: String::new(),
@@ -244,5 +244,5 @@
         calls: vec![call],
         outages: Vec::new(),
     };
-    assert_eq!(check(&session, &rules()), Vec::from_iter(case.found));
+    assert_eq!(check(&session, &rules()), Vec::from_iter(case.expected));
 }
--- a/testsuite/tests/testsuite/standin/hosts.rs
+++ b/testsuite/tests/testsuite/standin/hosts.rs
@@ -1,4 +1,4 @@
-//! The list of workers and its lag.
+//! List of workers, and the lag of its changes.
 
 use std::sync::Arc;
 
@@ -26,15 +26,15 @@
 #[test_case(HostState::Leaving; "leaving")]
 #[test_case(HostState::Dead; "dead")]
 #[tokio::test]
-async fn a_change_shows_after_the_lag(state: HostState) {
+async fn a_state_change_is_listed_after_the_lag(state: HostState) {
     let clock = Arc::new(ManualClock::default());
     let settings = Settings {
         lag_ms: LAG_MS,
         ..Settings::default()
     };
-    let free = "127.0.0.1:0".parse().unwrap();
+    let any_port = "127.0.0.1:0".parse().unwrap();
     let shared = Arc::clone(&clock);
-    let hosts = Hosts::with_clock(free, &[], settings, shared)
+    let hosts = Hosts::with_clock(any_port, &[], settings, shared)
         .await
         .unwrap();
     let client = HostList::new(&hosts.address().to_string(), "worker", 5_000);
@@ -49,9 +49,9 @@
 }
 
 #[tokio::test]
-async fn lists_its_own_service_only() {
-    let free = "127.0.0.1:0".parse().unwrap();
-    let hosts = Hosts::start(free, Settings::default()).await.unwrap();
+async fn a_list_for_another_service_is_empty() {
+    let any_port = "127.0.0.1:0".parse().unwrap();
+    let hosts = Hosts::start(any_port, Settings::default()).await.unwrap();
     hosts.show(record());
     let client = HostList::new(&hosts.address().to_string(), "other", 5_000);
     assert_eq!(client.read().await.unwrap(), []);
--- a/testsuite/tests/testsuite/standin/load.rs
+++ b/testsuite/tests/testsuite/standin/load.rs
@@ -1,4 +1,4 @@
-//! The load tool counts and judges what comes back.
+//! The load generator counts calls and classifies their answers.
 
 use std::sync::Arc;
 
@@ -34,7 +34,7 @@
 }
 
 #[tokio::test]
-async fn every_answer_of_an_upstream_is_whole_and_its_own() {
+async fn upstream_answers_are_complete_and_match_their_calls() {
     let settings = |name: &str| Settings {
         name: name.to_owned(),
         queue: 1_000,
@@ -49,7 +49,7 @@
     let upstreams: Vec<_> = upstreams.map(|address| address.parse().unwrap()).collect();
     let report = run(&plan(upstreams)).await;
     let answered: Vec<u64> = report.kinds.values().map(|kind| kind.answered).collect();
-    // The seed decides which call is of which kind.
+    // The seed determines the kind of each call.
     assert_eq!(answered, [52, 148], "{report}");
     assert!(
         report
@@ -70,23 +70,23 @@
     assert_eq!(check(&session, &rules), []);
 }
 
-/// What a server answers to everything.
+/// Answer of the test server to every call.
 #[derive(Clone, Copy)]
 enum Reply {
     NotRun,
     Unknown,
-    Silent,
-    Other,
-    Cut,
+    Empty,
+    OtherCall,
+    Truncated,
     Failed,
 }
 
-struct Answered {
+struct TestAnswer {
     reply: Reply,
     call_id: String,
 }
 
-impl<'r> Responder<'r, 'static> for Answered {
+impl<'r> Responder<'r, 'static> for TestAnswer {
     fn respond_to(self, _: &'r Request<'_>) -> rocket::response::Result<'static> {
         let mut response = Response::build();
         let mut body = |call_id: &str| {
@@ -96,9 +96,9 @@
             response.sized_body(text.len(), std::io::Cursor::new(text));
         };
         match self.reply {
-            Reply::Other => body("other"),
-            Reply::Cut => body(&self.call_id),
-            Reply::Silent => {}
+            Reply::OtherCall => body("other"),
+            Reply::Truncated => body(&self.call_id),
+            Reply::Empty => {}
             Reply::Failed => _ = response.status(Status::InternalServerError),
             Reply::NotRun => _ = response.header(Header::new("verbenahitch-not-run", "true")),
             Reply::Unknown => _ = response.header(Header::new("verbenahitch-outcome", "unknown")),
@@ -108,8 +108,8 @@
 }
 
 #[rocket::post("/<_>/<call_id>")]
-fn answer(call_id: String, reply: &State<Reply>) -> Answered {
-    Answered {
+fn answer(call_id: String, reply: &State<Reply>) -> TestAnswer {
+    TestAnswer {
         reply: **reply,
         call_id,
     }
@@ -118,42 +118,42 @@
 #[test_case(Reply::NotRun, [1, 0, 0, 0]; "not run")]
 #[test_case(Reply::Unknown, [0, 1, 0, 0]; "unknown")]
 #[test_case(Reply::Failed, [0, 0, 1, 0]; "failed")]
-#[test_case(Reply::Silent, [0, 0, 0, 1]; "empty")]
-#[test_case(Reply::Other, [0, 0, 0, 1]; "answer to another call")]
-#[test_case(Reply::Cut, [0, 0, 0, 1]; "part of an answer")]
+#[test_case(Reply::Empty, [0, 0, 0, 1]; "empty")]
+#[test_case(Reply::OtherCall, [0, 0, 0, 1]; "answer to another call")]
+#[test_case(Reply::Truncated, [0, 0, 0, 1]; "truncated answer")]
 #[tokio::test]
-async fn each_answer_is_told_apart(reply: Reply, expected: [u64; 4]) {
+async fn an_answer_is_counted_under_its_outcome(reply: Reply, expected: [u64; 4]) {
     let mount =
         move |rocket: Rocket<Build>| rocket.manage(reply).mount("/", rocket::routes![answer]);
-    let free = "127.0.0.1:0".parse().unwrap();
-    let server = Server::start(free, Arc::new(mount)).await.unwrap();
-    let whole = plan(vec![server.address()]);
+    let any_port = "127.0.0.1:0".parse().unwrap();
+    let server = Server::start(any_port, Arc::new(mount)).await.unwrap();
+    let full_plan = plan(vec![server.address()]);
     let plan = Plan {
-        kinds: whole.kinds[..1].to_vec(),
+        kinds: full_plan.kinds[..1].to_vec(),
         count: 1,
-        ..whole
+        ..full_plan
     };
     let report = run(&plan).await;
     let kind = report.kinds["quote"];
-    let seen = [kind.not_run, kind.unknown, kind.broken, kind.wrong];
-    assert_eq!(seen, expected, "{:?}", report.calls);
+    let counts = [kind.not_run, kind.unknown, kind.broken, kind.wrong];
+    assert_eq!(counts, expected, "{:?}", report.calls);
     assert_eq!((kind.sent, kind.answered), (1, 0));
 }
 
 #[tokio::test]
-async fn an_unclear_keyed_call_is_repeated_once_under_its_key() {
+async fn a_keyed_call_with_unknown_outcome_is_repeated_once_with_its_key() {
     let mount = move |rocket: Rocket<Build>| {
         rocket
             .manage(Reply::Unknown)
             .mount("/", rocket::routes![answer])
     };
-    let free = "127.0.0.1:0".parse().unwrap();
-    let server = Server::start(free, Arc::new(mount)).await.unwrap();
-    let whole = plan(vec![server.address()]);
+    let any_port = "127.0.0.1:0".parse().unwrap();
+    let server = Server::start(any_port, Arc::new(mount)).await.unwrap();
+    let full_plan = plan(vec![server.address()]);
     let plan = Plan {
-        kinds: whole.kinds[1..].to_vec(),
+        kinds: full_plan.kinds[1..].to_vec(),
         count: 1,
-        ..whole
+        ..full_plan
     };
     let report = run(&plan).await;
     let keys: Vec<_> = report
--- a/testsuite/tests/testsuite/standin/mod.rs
+++ b/testsuite/tests/testsuite/standin/mod.rs
@@ -1,4 +1,4 @@
-//! The stand-ins follow the published protocols, as the real adapters see them.
+//! Stand-ins follow the published protocols, checked through the real adapters.
 
 mod demo;
 mod examples;
--- a/testsuite/tests/testsuite/standin/process.rs
+++ b/testsuite/tests/testsuite/standin/process.rs
@@ -1,4 +1,4 @@
-//! Stand-ins as processes of their own.
+//! Stand-ins as separate processes.
 
 use std::io::{BufRead as _, BufReader, Write as _};
 use std::path::Path;
@@ -31,14 +31,14 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // The process ends with its standard input.
+        // The process exits when its standard input closes.
         drop(self.child.stdin.take());
         self.child.wait().unwrap();
     }
 }
 
 #[tokio::test]
-async fn a_platform_prints_its_addresses_and_serves() {
+async fn the_platform_command_prints_its_addresses_and_serves() {
     let pool = std::env::temp_dir().join(format!("pool-{}.jsonc", std::process::id()));
     let mut file = std::fs::File::create(&pool).unwrap();
     write!(
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn the_load_tool_prints_what_came_back() {
+fn the_load_command_prints_the_answered_calls() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).parent().unwrap();
     let pool = root.join("crates/standin/fixtures/kilele/pool.jsonc");
     let process = Process::start(&["platform", "--pool", pool.to_str().unwrap()]);
--- a/testsuite/tests/testsuite/standin/store.rs
+++ b/testsuite/tests/testsuite/standin/store.rs
@@ -1,4 +1,4 @@
-//! Keys, locks, watches, transactions and limits of the store.
+//! Keys, locks, watches, transactions and limits of the store stand-in.
 
 use std::sync::Arc;
 
@@ -11,16 +11,18 @@
 const TTL_MS: u64 = 10_000;
 
 async fn start() -> (Store, Client) {
-    let free = "127.0.0.1:0".parse().unwrap();
-    let store = Store::start(free, Settings::default()).await.unwrap();
+    let any_port = "127.0.0.1:0".parse().unwrap();
+    let store = Store::start(any_port, Settings::default()).await.unwrap();
     let client = Client::new(&store.address().to_string(), TIMEOUT_MS);
     (store, client)
 }
 
 async fn start_with(clock: &Arc<ManualClock>, settings: Settings) -> (Store, Client) {
-    let free = "127.0.0.1:0".parse().unwrap();
+    let any_port = "127.0.0.1:0".parse().unwrap();
     let clock = Arc::clone(clock);
-    let store = Store::with_clock(free, &[], settings, clock).await.unwrap();
+    let store = Store::with_clock(any_port, &[], settings, clock)
+        .await
+        .unwrap();
     let client = Client::new(&store.address().to_string(), TIMEOUT_MS);
     (store, client)
 }
@@ -48,7 +50,7 @@
 }
 
 #[tokio::test]
-async fn cas_takes_the_newest_index_only() {
+async fn cas_succeeds_only_with_the_newest_index() {
     let (_store, client) = start().await;
     assert!(client.cas("a/b", b"1".to_vec(), 0).await.unwrap());
     assert!(!client.cas("a/b", b"2".to_vec(), 0).await.unwrap());
@@ -84,7 +86,7 @@
 }
 
 #[tokio::test]
-async fn lock_index_rises_with_each_holder() {
+async fn the_lock_index_increases_with_each_holder() {
     let (_store, client) = start().await;
     let first = client.create_session("one", TTL_MS).await.unwrap();
     let second = client.create_session("two", TTL_MS).await.unwrap();
@@ -140,7 +142,7 @@
 }
 
 #[tokio::test]
-async fn sessions_lapse_by_a_clock_that_stops_while_the_store_is_down() {
+async fn session_time_to_live_does_not_run_while_the_store_is_down() {
     let clock = Arc::new(ManualClock::default());
     let (store, client) = start_with(&clock, Settings::default()).await;
     let session = client.create_session("one", TTL_MS).await.unwrap();
@@ -160,7 +162,7 @@
 }
 
 #[tokio::test]
-async fn watch_returns_the_change() {
+async fn a_watch_returns_a_change_of_its_key() {
     let (store, client) = start().await;
     let absent = client.watch("doc", 0, 60_000).await.unwrap();
     assert!(absent.entries.is_empty());
@@ -180,7 +182,7 @@
 }
 
 #[tokio::test]
-async fn watch_ends_with_its_wait() {
+async fn a_watch_without_a_change_returns_after_its_wait() {
     let (_store, client) = start().await;
     assert!(client.cas("doc", b"1".to_vec(), 0).await.unwrap());
     let entry = client.get("doc").await.unwrap().unwrap();
@@ -220,14 +222,14 @@
     assert_eq!(store.keys(""), ["doc", "owner"]);
     let doc = client.get("doc").await.unwrap().unwrap();
     assert_eq!((doc.value, doc.modify_index), (b"old".to_vec(), index));
-    // The next change takes the index that the refused one would have had.
+    // A refused transaction uses up no index.
     assert!(client.cas("next", Vec::new(), 0).await.unwrap());
     let next = client.get("next").await.unwrap().unwrap();
     assert_eq!(next.modify_index, index + 1);
 }
 
 #[tokio::test]
-async fn refuses_what_is_too_large() {
+async fn values_and_transactions_over_the_limit_are_refused() {
     let (store, client) = start().await;
     let limit = Settings::default().value_limit;
     assert!(client.cas("fits", vec![0; limit], 0).await.unwrap());
@@ -249,7 +251,7 @@
 }
 
 #[tokio::test]
-async fn refuses_calls_beyond_the_rate() {
+async fn calls_over_the_rate_limit_are_refused() {
     let clock = Arc::new(ManualClock::default());
     let limits = Limits {
         reads: 2,
--- a/testsuite/tests/testsuite/standin/zones.rs
+++ b/testsuite/tests/testsuite/standin/zones.rs
@@ -5,10 +5,10 @@
 use verbenahitch_standin::platform::{Parts, Platform};
 use verbenahitch_standin::worker::Settings;
 
-/// Time limit of calls that are expected to get no answer.
-const SHORT_MS: u64 = 200;
-/// Time limit of calls that are expected to be answered.
-const LONG_MS: u64 = 10_000;
+/// Timeout of calls that are expected to get no answer.
+const SHORT_TIMEOUT_MS: u64 = 200;
+/// Timeout of calls that are expected to be answered.
+const LONG_TIMEOUT_MS: u64 = 10_000;
 
 async fn start() -> Platform {
     let worker = |zone: &str| Settings {
@@ -25,17 +25,17 @@
 
 async fn list(platform: &Platform, zone: &str) -> Vec<HostRecord> {
     let address = platform.addresses().zones[zone].hosts.unwrap();
-    let list = HostList::new(&address.to_string(), "worker", LONG_MS);
+    let list = HostList::new(&address.to_string(), "worker", LONG_TIMEOUT_MS);
     list.read().await.unwrap()
 }
 
-async fn hears(platform: &Platform, zone: &str, timeout_ms: u64) -> bool {
+async fn reaches_store(platform: &Platform, zone: &str, timeout_ms: u64) -> bool {
     let address = platform.addresses().zones[zone].store.unwrap();
     let store = Store::new(&address.to_string(), timeout_ms);
     store.get("key").await.is_ok()
 }
 
-async fn syncs(worker: &HostRecord, seq: u64, timeout_ms: u64) -> bool {
+async fn reaches_worker(worker: &HostRecord, seq: u64, timeout_ms: u64) -> bool {
     let request = SyncRequest {
         shard: "a-0".to_owned(),
         owner: "entry".to_owned(),
@@ -51,7 +51,7 @@
 }
 
 #[tokio::test]
-async fn each_zone_sees_workers_at_addresses_of_its_own() {
+async fn each_zone_lists_workers_at_separate_addresses() {
     let platform = start().await;
     let (from_a, from_b) = (list(&platform, "a").await, list(&platform, "b").await);
     for (one, other) in from_a.iter().zip(&from_b) {
@@ -59,21 +59,21 @@
         assert_ne!(one.control, other.control);
         assert_ne!(one.upstream, other.upstream);
     }
-    assert!(syncs(&from_a[1], 1, LONG_MS).await);
+    assert!(reaches_worker(&from_a[1], 1, LONG_TIMEOUT_MS).await);
 }
 
 #[tokio::test]
-async fn a_cut_zone_keeps_its_own_workers_and_nothing_else() {
+async fn a_cut_zone_reaches_only_its_own_workers() {
     let platform = start().await;
     let (from_a, from_b) = (list(&platform, "a").await, list(&platform, "b").await);
     platform.cut_zone("a");
-    assert!(!hears(&platform, "a", SHORT_MS).await);
-    assert!(hears(&platform, "b", LONG_MS).await);
-    assert!(syncs(&from_a[0], 1, LONG_MS).await);
-    assert!(!syncs(&from_a[1], 1, SHORT_MS).await);
-    assert!(!syncs(&from_b[0], 2, SHORT_MS).await);
-    assert!(syncs(&from_b[1], 3, LONG_MS).await);
+    assert!(!reaches_store(&platform, "a", SHORT_TIMEOUT_MS).await);
+    assert!(reaches_store(&platform, "b", LONG_TIMEOUT_MS).await);
+    assert!(reaches_worker(&from_a[0], 1, LONG_TIMEOUT_MS).await);
+    assert!(!reaches_worker(&from_a[1], 1, SHORT_TIMEOUT_MS).await);
+    assert!(!reaches_worker(&from_b[0], 2, SHORT_TIMEOUT_MS).await);
+    assert!(reaches_worker(&from_b[1], 3, LONG_TIMEOUT_MS).await);
     platform.mend();
-    assert!(hears(&platform, "a", LONG_MS).await);
-    assert!(syncs(&from_a[1], 4, LONG_MS).await);
+    assert!(reaches_store(&platform, "a", LONG_TIMEOUT_MS).await);
+    assert!(reaches_worker(&from_a[1], 4, LONG_TIMEOUT_MS).await);
 }
