--- a/crates/verbenahitch/src/gateway/route/subset.rs
+++ b/crates/verbenahitch/src/gateway/route/subset.rs
@@ -15,7 +15,7 @@
 /// Share of the subset reserved for upstreams of other zones, if there are any, in percent.
 const FAR_PERCENT: usize = 25;
 
-/// Chooses the subset of `hosts` for the gateway at `config`.
+/// Chooses the subset of `hosts` for the gateway that `config` describes.
 pub fn choose<'a>(
     config: &RoutingConfig,
     hosts: impl Iterator<Item = &'a HostRecord>,
--- a/crates/verbenahitch/src/scheduler/message.rs
+++ b/crates/verbenahitch/src/scheduler/message.rs
@@ -276,8 +276,8 @@
     pub victim: String,
     /// Profile that causes the slowdown.
     pub source: String,
-    /// Estimated run time of the victim next to one task of the source, in percent of its run
-    /// time alone.
+    /// Estimated latency of the victim next to one task of the source, in percent of its baseline
+    /// latency, which it has without interference.
     pub slowdown_percent: u32,
 }
 
--- a/crates/verbenahitch/src/scheduler/shard/mod.rs
+++ b/crates/verbenahitch/src/scheduler/shard/mod.rs
@@ -1,6 +1,6 @@
 //! Decision logic of one shard.
 //!
-//! [`Shard::step`] eligible one [`Input`] and returns the [`Action`]s that follow
+//! [`Shard::step`] processes one [`Input`] and returns the [`Action`]s that follow
 //! from it. Each step checks every right to act (ownership, authority, permit)
 //! against its own time, so that a process that was paused does not act on rights
 //! that have expired during the pause.
@@ -110,7 +110,7 @@
     returning_since: Option<Monotonic>,
     /// When the next pass over the queues is due.
     pass_due: Monotonic,
-    /// When the next check for tasks to mark that are not idempotent is due.
+    /// When the next check for non-idempotent tasks to mark is due.
     marks_due: Monotonic,
     moves_due: Monotonic,
     mitigation_due: Monotonic,
--- a/crates/verbenahitch/src/scheduler/shard/pressures.rs
+++ b/crates/verbenahitch/src/scheduler/shard/pressures.rs
@@ -10,10 +10,10 @@
 /// Time between two reports of the estimates, in milliseconds.
 const REPORT_MS: Millis = 5_000;
 
-/// Smallest slowdown that is reported, in percent of the run time alone.
+/// Smallest slowdown that is reported, in percent of the baseline latency.
 const MIN_SLOWDOWN_PERCENT: u32 = 102;
 
-/// Smallest change of an estimate that is reported again, in percent of the run time alone.
+/// Smallest change of an estimate that is reported again, in percent of the baseline latency.
 const MIN_CHANGE_PERCENT: u32 = 5;
 
 /// Estimates as they were last reported.
