--- a/crates/verbenahitch/src/dispatch/assign.rs
+++ b/crates/verbenahitch/src/dispatch/assign.rs
@@ -33,7 +33,8 @@
 }
 
 impl AssignPass {
-    /// Whether this pass failed to place a step of the pool that needs as little or less.
+    /// Whether this pass failed to place a step of the pool that has the same label and
+    /// needs as much or less.
     fn is_unplaceable(&self, pool: &str, step: &StepSpec) -> bool {
         self.unplaced.iter().any(|(tried, other)| {
             tried == pool
--- a/crates/verbenahitch/src/dispatch/health.rs
+++ b/crates/verbenahitch/src/dispatch/health.rs
@@ -4,7 +4,7 @@
 //! and more tasks; a faulty job fails on every worker. Failures of different jobs
 //! in a row indicate a faulty worker.
 //!
-//! Inputs: ended and stalled runs, as old as the last poll, and refused orders.
+//! Inputs: ended, stalled and slow runs, as old as the last poll, and refused orders.
 
 use super::job::JobId;
 use super::worker::Worker;
--- a/crates/verbenahitch/src/dispatch/interference.rs
+++ b/crates/verbenahitch/src/dispatch/interference.rs
@@ -67,15 +67,15 @@
 /// Expected tail ratio above which a tail adds to the cost of a worker by its height.
 pub(super) const EXCESS_RATIO: f64 = 0.4;
 
-/// Pressure from which a pair is reported as harmful: a filler on about an eighth of a
-/// worker causes the maximum growth.
+/// Pressure from which a pair is reported as harmful: a filler on a tenth of a worker
+/// causes the maximum growth.
 const HARMFUL_PRESSURE: f64 = 2.5;
 
 /// Time until an action shows in the tail, in milliseconds: the half second that a
 /// tail covers, and the time that the worker needs for the action.
 const SETTLE_MS: Millis = 650;
 
-/// Time over the target after which all fillers on the worker are paused, in
+/// Time above [`MITIGATION_RATIO`] after which all fillers on the worker are paused, in
 /// milliseconds. Half of the shortest time that a tail may exceed its target.
 const OVER_LIMIT_MS: Millis = 1_900;
 
--- a/crates/verbenahitch/src/dispatch/straggler.rs
+++ b/crates/verbenahitch/src/dispatch/straggler.rs
@@ -4,7 +4,8 @@
 //! seconds, or stall, while they answer every poll. The tasks of a step are alike,
 //! so one that would take several times as long as its peers is on such a worker.
 //! A speculative copy is started where the step allows it; otherwise the task is
-//! restarted elsewhere if that ends sooner. The worker is quarantined for a while.
+//! restarted elsewhere if that ends sooner. A worker with a stalled run, or with slow
+//! runs of several jobs, is quarantined for a while.
 //!
 //! Inputs: progress in percent, as old as the last poll.
 
