--- a/crates/standin/src/command/mod.rs
+++ b/crates/standin/src/command/mod.rs
@@ -30,12 +30,13 @@
     /// Exits with 1 if a guarantee was violated or a kind of request was never served.
     #[bpaf(command)]
     Demo(#[bpaf(external(demo::options))] demo::Options),
-    /// Sends the request kinds of a deployment and prints the results.
+    /// Sends requests of the kinds that a deployment declares, and prints the results.
     ///
-    /// Exits with 1 if an answer was incomplete or belonged to another call.
+    /// Exits with 1 if an answer was incomplete or belonged to another request.
     #[bpaf(command)]
     Load(#[bpaf(external(load::options))] load::Options),
-    /// Measures the resources that a role uses, and how they grow with a size.
+    /// Measures the CPU, memory and traffic of the daemons, and how they grow with the number of
+    /// workers, starts or requests; or the time that a takeover takes.
     ///
     /// Nothing else should use the machine or its loopback interface at the same time.
     #[bpaf(command)]
@@ -47,13 +48,13 @@
 /// Stand-ins to serve.
 #[derive(Clone, Debug, Bpaf)]
 pub enum Serving {
-    /// Serves the key-value service.
+    /// Serves the key-value store.
     #[bpaf(command)]
     Store {
         /// Address to listen on; port 0 picks a free one.
         #[bpaf(argument("IP:PORT"), fallback(loopback()))]
         address: SocketAddr,
-        /// Address of the control port.
+        /// Address of the control port, at which tests change the store and read its calls.
         #[bpaf(argument("IP:PORT"), fallback(loopback()))]
         control: SocketAddr,
         /// Limit of the store's reads per second; 0 for no limit.
@@ -69,7 +70,7 @@
         /// Address to listen on; port 0 picks a free one.
         #[bpaf(argument("IP:PORT"), fallback(loopback()))]
         address: SocketAddr,
-        /// Address of the control port, where workers are added.
+        /// Address of the control port, at which tests add and change workers.
         #[bpaf(argument("IP:PORT"), fallback(loopback()))]
         control: SocketAddr,
         /// Delay before a change of the list is visible, in milliseconds.
@@ -79,10 +80,10 @@
     /// Serves the workers of a pool.
     #[bpaf(command)]
     Workers {
-        /// Pool of workers, JSON with comments.
+        /// File that lists the workers of the pool, JSON with comments.
         #[bpaf(argument("FILE"))]
         pool: PathBuf,
-        /// Address of the control port.
+        /// Address of the control port, at which tests change the stand-ins and read histories.
         #[bpaf(argument("IP:PORT"), fallback(loopback()))]
         control: SocketAddr,
         /// Seed of the workers' random values.
@@ -92,10 +93,10 @@
     /// Serves the store, the list of workers and the workers of a pool.
     #[bpaf(command)]
     Platform {
-        /// Pool of workers, JSON with comments.
+        /// File that lists the workers of the pool, JSON with comments.
         #[bpaf(argument("FILE"))]
         pool: PathBuf,
-        /// Address of the control port.
+        /// Address of the control port, at which tests change the stand-ins and read histories.
         #[bpaf(argument("IP:PORT"), fallback(loopback()))]
         control: SocketAddr,
         /// Address of the store.
@@ -150,7 +151,7 @@
     /// The demo did not complete.
     #[snafu(display("{source}"))]
     Demo { source: DemoError },
-    /// The experiment failed.
+    /// The measurement failed.
     #[snafu(display("{source}"))]
     Measure { source: MeasureError },
     /// A stand-in did not start.
--- a/crates/verbenahitch/src/dispatch/commit.rs
+++ b/crates/verbenahitch/src/dispatch/commit.rs
@@ -7,7 +7,8 @@
 use crate::event::{Entry, Kind};
 
 impl Dispatcher {
-    /// Takes up to `limit` changed records to write; none while a write is in progress.
+    /// Takes the records of up to `limit` changed jobs to write; none while a write is in
+    /// progress or once fenced.
     pub fn take_writes(&mut self, limit: usize) -> Vec<Write> {
         if !self.writing.is_empty() || self.is_fenced {
             return Vec::new();
@@ -38,6 +39,7 @@
         for round in &job.rounds {
             for (step, (state, _)) in (0u32..).zip(round.steps.iter().zip(&job.record.spec.steps)) {
                 for (index, task) in (0u32..).zip(&state.tasks) {
+                    // Only tasks with an assignment have a record.
                     if task.last_run == 0 {
                         continue;
                     }
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Records that the store holds the last taken writes.
+    /// Marks the writes last taken as stored.
     pub fn commit_stored(&mut self, now: Monotonic) {
         let written = std::mem::take(&mut self.writing);
         for (id, version) in written {
@@ -81,13 +83,13 @@
                         .emit();
                 }
             }
-            self.release_recorded(id, version, now);
+            self.start_recorded(id, version, now);
             self.close_if_ended(id);
         }
     }
 
-    /// Lets the runs start whose assignment the store holds.
-    fn release_recorded(&mut self, id: JobId, version: u64, now: Monotonic) {
+    /// Lets runs start once the store holds their assignment.
+    fn start_recorded(&mut self, id: JobId, version: u64, now: Monotonic) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
@@ -102,7 +104,8 @@
         }
     }
 
-    /// Drops the details of a job once the store holds its end and no run is left.
+    /// Frees the rounds and steps of a job that are kept in memory, once the store holds
+    /// its final state and no run is left.
     pub(super) fn close_if_ended(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
--- a/crates/verbenahitch/src/dispatch/polls.rs
+++ b/crates/verbenahitch/src/dispatch/polls.rs
@@ -1,5 +1,5 @@
-//! Polls of workers: a poll extends a worker's leases, acknowledges ends, and reads
-//! which runs are in progress or have ended.
+//! Polls of workers: a poll extends a worker's leases, acknowledges ended runs, and
+//! reads which runs are in progress or have ended.
 
 use super::report::{CallFailure, EndCause, Order, Poll, Report, RunningEntry};
 use super::worker::{UnackedEnd, WorkerKey};
@@ -8,33 +8,34 @@
 use crate::event::{Entry, Kind};
 
 /// How long a worker may delay its answer until a run ends, in milliseconds. Short
-/// enough that tails are read several times within the time that they may exceed
-/// their target.
+/// enough that several readings of the tail latency arrive within the time for which a
+/// standing task may exceed its latency target.
 const POLL_WAIT_MS: Millis = 700;
 
 /// Pause before a worker without runs is polled again, in milliseconds.
 const IDLE_PAUSE_MS: Millis = 900;
 
-/// Pause between two polls, which lets ends accumulate, in milliseconds.
+/// Pause between two polls, which lets run ends accumulate, in milliseconds.
 const POLL_PAUSE_MS: Millis = 25;
 
-/// How long a poll is delayed for ends that the store does not hold yet, in
-/// milliseconds. While a worker lists an unacknowledged end, it answers at once and
-/// usually without news. A commit takes a tenth of this time; the bound limits the
-/// delay of polls during an outage of the store.
+/// How long a poll is delayed for run ends that the store does not hold yet, in
+/// milliseconds. While a worker lists an unacknowledged end, it answers polls at once,
+/// usually with nothing new. A commit takes a tenth of this time; the limit keeps polls
+/// going during an outage of the store.
 const COMMIT_WAIT_MS: Millis = 300;
 
 /// Pause after a failed poll, in milliseconds.
 const FAILED_PAUSE_MS: Millis = 150;
 
-/// Maximum number of ends that a worker lists at once, by the workers' interface.
+/// Maximum number of ended runs that a worker lists at once, as defined by the worker API.
 const MAX_LISTED_ENDS: usize = 500;
 
-/// Progress that a standing task reports once it serves, in percent.
+/// Progress that a standing task (one that runs until its job is cancelled) reports once
+/// it serves, in percent.
 pub(super) const SERVING_PERCENT: u8 = 100;
 
 impl Dispatcher {
-    /// Adds the polls that are due.
+    /// Adds to `orders` the polls that are due.
     pub(super) fn due_polls(&mut self, now: Monotonic, orders: &mut Vec<Order>) {
         let may_act = self.may_act(now);
         let lease_ms = self.bounds.lease_ms;
@@ -46,6 +47,7 @@
             {
                 continue;
             }
+            // The end of a run of an unknown job changes no record, so there is nothing to store.
             let is_stored = |end: &&UnackedEnd| {
                 jobs.get(&end.job)
                     .is_none_or(|job| job.stored_version >= end.version)
@@ -119,8 +121,8 @@
         if self.quorum_at.is_none() && self.has_quorum(now) {
             self.quorum_at = Some(now);
         }
-        self.read_ends(key, &report, now);
-        self.read_running(key, &report, sent, now);
+        self.apply_ends(key, &report, now);
+        self.apply_running(key, &report, sent, now);
         self.mitigate(key, now);
     }
 
@@ -143,7 +145,7 @@
         }
     }
 
-    fn read_ends(&mut self, key: WorkerKey, report: &Report, now: Monotonic) {
+    fn apply_ends(&mut self, key: WorkerKey, report: &Report, now: Monotonic) {
         for end in &report.ended {
             let worker = &mut self.workers[key];
             if end.number <= worker.last_end {
@@ -163,33 +165,36 @@
         }
     }
 
-    fn read_running(&mut self, key: WorkerKey, report: &Report, sent: Monotonic, now: Monotonic) {
+    fn apply_running(&mut self, key: WorkerKey, report: &Report, sent: Monotonic, now: Monotonic) {
         let mut seen = Vec::with_capacity(report.running.len());
         for entry in &report.running {
             match self.find_run(key, entry.task, entry.run) {
                 Some(run) => {
-                    self.read_progress(run, entry, now);
+                    self.apply_progress(run, entry, now);
                     seen.push(run);
                 }
                 None => seen.push(self.stop_unassigned(key, entry, now)),
             }
         }
+        // A full list may omit ends, so an unlisted run need not be gone.
         if report.ended.len() >= MAX_LISTED_ENDS {
             return;
         }
         let missing = |run: &&RunKey| {
             let state = &self.runs[**run];
-            let known = state.inherited || state.confirmed_at.is_some_and(|at| at < sent);
-            known && !seen.contains(run)
+            let should_be_listed =
+                state.inherited || state.confirmed_at.is_some_and(|at| at < sent);
+            should_be_listed && !seen.contains(run)
         };
         let runs = &self.workers[key].runs;
         let gone: Vec<RunKey> = runs.iter().filter(missing).copied().collect();
+        // How they ended is not known; `Stopped` does not count as a failure.
         for run in gone {
             self.end_run(run, EndCause::Stopped, "", now);
         }
     }
 
-    fn read_progress(&mut self, key: RunKey, entry: &RunningEntry, now: Monotonic) {
+    fn apply_progress(&mut self, key: RunKey, entry: &RunningEntry, now: Monotonic) {
         let run = &mut self.runs[key];
         run.inherited = false;
         run.seen_at = now;
@@ -201,6 +206,7 @@
             run.progress = entry.progress_percent;
             run.progressed_at = now;
         }
+        // Tail latency for standing tasks only; others, which have no target, report CPU in use.
         run.tail_ms = entry.measurement;
         let id = run.task.job;
         if let Some(task) = self.task_mut(entry.task)
@@ -226,7 +232,7 @@
         run
     }
 
-    /// Run with that number of a task on a worker.
+    /// Finds the run `number` of `task` on a worker.
     fn find_run(&self, key: WorkerKey, task: TaskId, number: u32) -> Option<RunKey> {
         let runs = &self.workers.get(key)?.runs;
         let is_match = |run: &&RunKey| {
@@ -236,7 +242,7 @@
         runs.iter().find(is_match).copied()
     }
 
-    /// Handles the restart of a worker under its name: ends the runs of the earlier
+    /// Handles a worker that restarted with the same name: ends the runs of the earlier
     /// incarnation.
     fn worker_restarted(&mut self, key: WorkerKey, incarnation: u64, now: Monotonic) {
         let worker = &mut self.workers[key];
@@ -248,8 +254,9 @@
         let runs: Vec<RunKey> = worker.runs.iter().copied().collect();
         for run in runs {
             // An unanswered start may still reach the new incarnation.
-            let is_open = self.runs[run].phase == Phase::Starting && self.runs[run].tries > 0;
-            if !is_open && self.runs[run].phase != Phase::Recording {
+            let may_still_start =
+                self.runs[run].phase == Phase::Starting && self.runs[run].tries > 0;
+            if !may_still_start && self.runs[run].phase != Phase::Recording {
                 self.end_run(run, EndCause::Lapsed, "", now);
             }
         }
--- a/crates/verbenahitch/src/entry/observe.rs
+++ b/crates/verbenahitch/src/entry/observe.rs
@@ -4,7 +4,7 @@
 
 use metrics::{counter, gauge, histogram};
 
-/// Counts the final answer to a caller.
+/// Records a final answer to a caller and its duration.
 pub fn record_answer(method: &str, status: u16, took: Duration) {
     let labels = [
         ("method", method.to_owned()),
@@ -15,21 +15,21 @@
         .record(took.as_secs_f64());
 }
 
-/// Counts an order sent to a worker.
+/// Records a call to a worker that the dispatcher ordered, and its duration.
 pub(super) fn record_order(kind: &'static str, is_ok: bool, took: Duration) {
     let outcome = if is_ok { "done" } else { "failed" };
     counter!("verbenahitch_orders_total", "kind" => kind, "outcome" => outcome).increment(1);
     histogram!("verbenahitch_order_seconds", "kind" => kind).record(took.as_secs_f64());
 }
 
-/// Counts a commit of the owner.
+/// Records an attempt of the owner to commit, and the time since its first attempt.
 pub(super) fn record_commit(is_ok: bool, took: Duration) {
     let outcome = if is_ok { "stored" } else { "failed" };
     counter!("verbenahitch_owner_commits_total", "outcome" => outcome).increment(1);
     histogram!("verbenahitch_owner_commit_seconds").record(took.as_secs_f64());
 }
 
-/// Sets the gauges of the owner: usable workers and active runs.
+/// Sets the gauges of the owner: workers that may be given tasks, and active runs.
 pub(super) fn set_owner_gauges(workers: usize, runs: usize) {
     #[expect(clippy::cast_precision_loss, reason = "counts are far below 2^52")]
     let set = |gauge: metrics::Gauge, count: usize| gauge.set(count as f64);
--- a/crates/verbenahitch/src/entry/owner/updates.rs
+++ b/crates/verbenahitch/src/entry/owner/updates.rs
@@ -1,4 +1,5 @@
-//! Updates from the watches on the registry of workers and on the intake.
+//! Updates from the watches on the registry of workers and on the accepted jobs and
+//! cancels (the intake).
 
 use super::driver::{Driver, decode};
 use crate::entry::keys::{self, IntakeKey, JobEntry};
@@ -43,6 +44,7 @@
                 self.dispatcher.upsert_worker(info, self.clock.now());
             }
             Err(cause) => {
+                // This event covers the records of workers, too.
                 Entry::new(Kind::DeclarationUnreadable)
                     .with("key", &item.key)
                     .with("revision", item.revision)
@@ -53,6 +55,7 @@
         }
     }
 
+    /// Removes the worker whose registry entry has the key `key`.
     pub(super) fn unlist_worker(&mut self, key: &str) {
         if let Some(name) = self.worker_names.remove(key) {
             self.dispatcher.unlist_worker(&name, self.clock.now());
@@ -66,6 +69,7 @@
                 .into_iter()
                 .filter_map(|change| match change {
                     Change::Put(item) => Some(item),
+                    // Only the owner removes a key: that of a cancel whose job has ended.
                     Change::Removed(_) => None,
                 })
                 .collect(),
@@ -75,6 +79,7 @@
         for item in &items {
             match keys::parse_intake(&item.key) {
                 Some(IntakeKey::Job(id)) => {
+                    // `decode` logs a record that cannot be parsed.
                     if self.dispatcher.state(id).is_none()
                         && let Some(JobEntry::Open(record)) = decode(item)
                     {
--- a/crates/verbenahitch/src/gateway/path/handler.rs
+++ b/crates/verbenahitch/src/gateway/path/handler.rs
@@ -1,4 +1,4 @@
-//! Rocket handlers of the request path: turn a request into its answer.
+//! Rocket handlers that answer callers' requests.
 
 use std::io::Cursor;
 use std::pin::Pin;
@@ -23,7 +23,7 @@
 use super::serve::{self, Call, RequestOutcome};
 use super::shared::{ActiveRequest, Shared};
 
-/// Largest chunk of an answer's body in bytes.
+/// Maximum size of a chunk of an answer's body, in bytes.
 const CHUNK_SIZE: usize = 64 << 10;
 
 const METHODS: [Method; 7] = [
@@ -37,14 +37,15 @@
 ];
 
 #[derive(Clone)]
-struct CatchAll {
+struct RequestHandler {
     shared: Arc<Shared>,
 }
 
 #[derive(Clone)]
 struct ErrorCatcher;
 
-/// Body of an answer; its request counts as in progress until the body is written.
+/// Body of an answer; its request counts as in progress until the body has been sent or
+/// dropped.
 struct AnswerBody {
     body: Cursor<Vec<u8>>,
     _active: Option<ActiveRequest>,
@@ -52,7 +53,7 @@
 
 /// Routes of the callers' interface.
 pub fn routes(shared: &Arc<Shared>) -> Vec<Route> {
-    let handler = CatchAll {
+    let handler = RequestHandler {
         shared: Arc::clone(shared),
     };
     METHODS
@@ -67,15 +68,15 @@
 }
 
 #[rocket::async_trait]
-impl route::Handler for CatchAll {
+impl route::Handler for RequestHandler {
     async fn handle<'r>(&self, request: &'r Request<'_>, data: Data<'r>) -> route::Outcome<'r> {
         let active = self.shared.begin_request();
         let started = Instant::now();
         let given = request.headers().get_one(REQUEST_ID).unwrap_or_default();
-        let (id, kind, end) = match prepare(&self.shared, request, data).await {
+        let (id, kind, outcome) = match prepare(&self.shared, request, data).await {
             Ok(call) => {
-                let end = serve::serve(&self.shared, &call).await;
-                (call.outgoing.id, call.kind, end)
+                let outcome = serve::serve(&self.shared, &call).await;
+                (call.outgoing.id, call.kind, outcome)
             }
             Err(refusal) => (
                 given.to_owned(),
@@ -83,12 +84,12 @@
                 RequestOutcome::Refused(refusal),
             ),
         };
-        report::ended(&id, &kind, &end, started.elapsed());
+        report::ended(&id, &kind, &outcome, started.elapsed());
         // After a malformed request, the framing of what follows on the connection is uncertain.
         let malformed =
-            matches!(&end, RequestOutcome::Refused(refusal) if refusal.cause == Cause::Malformed);
+            matches!(&outcome, RequestOutcome::Refused(r) if r.cause == Cause::Malformed);
         let close = malformed || self.shared.is_stopping();
-        let mut answer = match end {
+        let mut answer = match outcome {
             RequestOutcome::Answered(answer) => answer,
             RequestOutcome::Refused(refusal) => Answer::refused(&refusal),
             RequestOutcome::Unknown(cause, reason) => Answer::unknown(cause, &reason),
@@ -116,6 +117,7 @@
         return Err(Refusal::new(Cause::Stopping, "this gateway is stopping"));
     }
     let settings = &shared.settings.gateway;
+    // The count includes this request.
     if shared.in_flight() > settings.concurrency {
         let reason = "too many requests are in progress";
         return Err(Refusal::new(Cause::Overloaded, reason));
@@ -123,12 +125,13 @@
     let started = shared.now();
     let head = Head::check(request, settings)?;
     let declarations = Arc::clone(&shared.table.load().declarations);
-    let unknown = || Refusal::new(Cause::UnknownKind, "no request kind has this path");
-    let (name, kind) = declarations.kind_of(&head.path).ok_or_else(unknown)?;
+    let unknown_kind = || Refusal::new(Cause::UnknownKind, "no request kind has this path");
+    let (name, kind) = declarations.kind_of(&head.path).ok_or_else(unknown_kind)?;
+    // Checked declarations contain the profile of each kind; a missing one is answered alike.
     let profile = declarations
         .profiles
         .get(&kind.profile)
-        .ok_or_else(unknown)?;
+        .ok_or_else(unknown_kind)?;
     let allowed = head.deadline_ms.unwrap_or(profile.deadline_ms);
     let allowed = allowed.min(profile.deadline_ms);
     let limits = body::Limits {
@@ -150,6 +153,8 @@
         kind: name.to_owned(),
         profile: kind.profile.clone(),
         worth: profile.worth,
+        // A call may go without progress for the silence limit or the target latency, whichever
+        // is longer, but at most for half of the profile's deadline.
         stall_ms: settings
             .silence_ms
             .max(profile.target_ms)
@@ -163,7 +168,9 @@
 
 /// Refuses forms whose `_method` field would make Rocket replace the caller's method.
 fn check_method_override(request: &Request<'_>, body: &[u8]) -> Result<(), Refusal> {
-    let is_form = request.content_type().is_some_and(|kind| kind.is_form());
+    let is_form = request
+        .content_type()
+        .is_some_and(|content_type| content_type.is_form());
     if is_form && body.starts_with(b"_method=") {
         let reason = "a form must not start with the field _method";
         return Err(Refusal::new(Cause::Malformed, reason));
--- a/crates/verbenahitch/src/placement/choice.rs
+++ b/crates/verbenahitch/src/placement/choice.rs
@@ -11,7 +11,7 @@
 pub enum WorkerState {
     /// Accepts tasks.
     Open,
-    /// Leaving, or not yet known to answer: keeps its tasks but accepts no new ones.
+    /// Leaving, not answering or otherwise held back: keeps its tasks but accepts no new ones.
     Closed,
     /// Accepts one probe task at a time.
     Quarantined,
@@ -37,7 +37,7 @@
 pub struct Resident {
     /// Task.
     pub task: TaskKey,
-    /// Number of its run.
+    /// Number of the run that holds the resources.
     pub run: u64,
     /// Name of its profile.
     pub name: Arc<str>,
@@ -61,7 +61,7 @@
         /// Why the worker was chosen.
         reason: Reason,
     },
-    /// Evict tasks from a worker to make room, then choose again.
+    /// Evict tasks from a worker to make room, then choose again once they have stopped.
     Evict {
         /// Worker.
         worker: WorkerKey,
@@ -78,9 +78,11 @@
 /// Reason for a decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// Chosen by fit and rack spread, or because room was reserved on the worker.
+    /// Chosen by fit and rack spread, or because room was reserved on the worker, which has no
+    /// reason of its own.
     BestFit,
-    /// Chosen over a scored worker with a higher pressure.
+    /// Chosen over one of the workers compared that has a higher expected slowdown by
+    /// interference (pressure).
     LeastPressure,
     /// The task probes a quarantined worker.
     Probe,
@@ -90,7 +92,7 @@
     Promised,
     /// The team's quota in this shard is used up.
     Quota,
-    /// Placement on any scored worker with room would slow latency-critical work too much.
+    /// Placement on any of the workers compared would slow latency-critical work too much.
     TooMuchPressure,
 }
 
--- a/crates/verbenahitch/src/replay/batch.rs
+++ b/crates/verbenahitch/src/replay/batch.rs
@@ -31,7 +31,7 @@
         let avoid = job.tasks[index].avoid.map(|at| &self.workers[at]);
         PlacementRequest {
             task,
-            name: Arc::clone(&job.name),
+            name: Arc::clone(&job.profile_name),
             profile: Arc::clone(&job.profile),
             avoid: avoid
                 .filter(|worker| worker.cell == job.cell)
@@ -129,10 +129,10 @@
         let run = Run {
             task,
             worker,
-            name: start.request.name,
+            profile_name: start.request.name,
             profile: start.request.profile,
             committed: start.committed,
-            share: 1.0,
+            cpu_share: 1.0,
             progress: entry.checkpoint,
             checkpoint: entry.checkpoint,
             checkpoint_due: self.now + CHECKPOINT_MS,
@@ -154,9 +154,12 @@
                 }
                 continue;
             }
-            let rate = self
-                .model
-                .rate(&run.name, &run.profile, run.committed, run.share);
+            let rate = self.model.rate(
+                &run.profile_name,
+                &run.profile,
+                run.committed,
+                run.cpu_share,
+            );
             let work = self.jobs[run.task.job].work_ms() as f64;
             let done = (rate * TICK_MS as f64).min(work - run.progress);
             run.progress += done;
@@ -183,7 +186,7 @@
         self.succeed(run.worker);
         let job = &mut self.jobs[run.task.job];
         job.task(run.task.index).state = State::Ended;
-        let batch = self.tally.batch(&job.name);
+        let batch = self.tally.batch(&job.profile_name);
         batch.finished += 1;
         batch.timely += u64::from(job.is_timely(self.now));
     }
@@ -246,14 +249,14 @@
         Some(run)
     }
 
-    /// Ends a run whose worker failed; its task waits until the lease has lapsed.
+    /// Ends a run whose worker went down; its task waits until the lease has lapsed.
     pub(super) fn lose_run(&mut self, id: u64) {
         let Some(run) = self.remove_run(id) else {
             return;
         };
         self.discard_work(run.progress - run.checkpoint);
         let task = self.jobs[run.task.job].task(run.task.index);
-        task.state = State::Leased;
+        task.state = State::AwaitingLapse;
         task.checkpoint = run.checkpoint;
         self.leased.push((self.now + LEASE_MS, run.task));
     }
@@ -298,7 +301,7 @@
             return;
         };
         if let Some(run) = self.runs.get_mut(&id) {
-            run.share = share;
+            run.cpu_share = share;
             self.tally.throttles += 1;
         }
     }
@@ -326,7 +329,7 @@
             .flat_map(|job| &job.tasks)
             .filter_map(|task| match task.state {
                 State::Waiting(since) => Some(self.now.since(since)),
-                State::Running(_) | State::Leased | State::Ended => None,
+                State::Running(_) | State::AwaitingLapse | State::Ended => None,
             });
         let longest = waits.max().unwrap_or(0);
         self.tally.urgent_wait_ms = self.tally.urgent_wait_ms.max(longest);
--- a/crates/verbenahitch/src/replay/driver.rs
+++ b/crates/verbenahitch/src/replay/driver.rs
@@ -185,7 +185,7 @@
             self.jobs.remove(key);
             return;
         }
-        let batch = self.tally.batch(&self.jobs[key].name);
+        let batch = self.tally.batch(&self.jobs[key].profile_name);
         batch.worth = self.jobs[key].profile.worth;
         batch.due += count;
         self.job_keys.insert(name, key);
@@ -209,11 +209,11 @@
                 State::Running(run) => {
                     self.remove_run(run);
                 }
-                State::Leased => self.leased.retain(|(_, leased)| *leased != task),
+                State::AwaitingLapse => self.leased.retain(|(_, leased)| *leased != task),
             }
             let job = &mut self.jobs[key];
             job.task(index).state = State::Ended;
-            self.tally.batch(&job.name).due -= 1;
+            self.tally.batch(&job.profile_name).due -= 1;
         }
     }
 
@@ -247,7 +247,7 @@
                     self.enqueue(task, since);
                 }
                 State::Running(run) => self.evict(run),
-                State::Leased | State::Ended => {}
+                State::AwaitingLapse | State::Ended => {}
             }
         }
     }
--- a/crates/verbenahitch/src/replay/fleet.rs
+++ b/crates/verbenahitch/src/replay/fleet.rs
@@ -1,4 +1,5 @@
-//! True state of the workers, jobs and runs of a replay.
+//! Simulated state of the workers, jobs and runs of a replay, as opposed to what the
+//! placers have been told.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -12,13 +13,14 @@
 pub(super) struct Worker {
     pub(super) name: String,
     pub(super) rack: String,
+    /// Index of its cell: the placer and queue of its zone.
     pub(super) cell: usize,
     pub(super) key: WorkerKey,
     pub(super) capacity: Resources,
     pub(super) up: bool,
     /// Whether every run on it fails.
     pub(super) bad: bool,
-    /// Whether its upstreams answer requests.
+    /// Whether it has upstreams: with the reserved policy only some workers do.
     pub(super) serves: bool,
     /// Failures in a row.
     pub(super) consecutive_failures: u32,
@@ -32,12 +34,14 @@
 pub(super) struct Run {
     pub(super) task: TaskKey,
     pub(super) worker: usize,
-    pub(super) name: Arc<str>,
+    pub(super) profile_name: Arc<str>,
     pub(super) profile: Arc<Profile>,
     pub(super) committed: Resources,
-    pub(super) share: f64,
-    /// Work done in milliseconds.
+    /// Fraction of its CPU that it may use, 1 unless throttled.
+    pub(super) cpu_share: f64,
+    /// Work done, in milliseconds at full speed.
     pub(super) progress: f64,
+    /// Work done at the newest checkpoint, in milliseconds at full speed.
     pub(super) checkpoint: f64,
     pub(super) checkpoint_due: Monotonic,
     pub(super) since: Monotonic,
@@ -50,10 +54,10 @@
 pub(super) enum State {
     /// In the queue since this time.
     Waiting(Monotonic),
-    /// On a worker, as the run with this id.
+    /// On a worker, as the run with this ID.
     Running(u64),
-    /// Its worker failed; it is queued again once the lease has lapsed.
-    Leased,
+    /// Its worker went down; it is queued again once the lease has lapsed.
+    AwaitingLapse,
     /// Finished, cancelled or refused.
     Ended,
 }
@@ -61,7 +65,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Task {
     pub(super) state: State,
-    /// Newest checkpoint: work done in milliseconds.
+    /// Work done at the newest checkpoint, in milliseconds at full speed.
     pub(super) checkpoint: f64,
     /// Worker on which it failed last.
     pub(super) avoid: Option<usize>,
@@ -70,8 +74,9 @@
 #[derive(Debug)]
 pub(super) struct Job {
     pub(super) submit: Submit,
-    pub(super) name: Arc<str>,
+    pub(super) profile_name: Arc<str>,
     pub(super) profile: Arc<Profile>,
+    /// Index of its cell: the placer and queue of its zone.
     pub(super) cell: usize,
     pub(super) accepted: Monotonic,
     pub(super) tasks: Vec<Task>,
@@ -86,7 +91,7 @@
         };
         let count = usize::try_from(submit.tasks).unwrap_or(usize::MAX);
         Self {
-            name: Arc::from(submit.profile.as_str()),
+            profile_name: Arc::from(submit.profile.as_str()),
             profile,
             cell,
             accepted: now,
--- a/crates/verbenahitch/src/replay/serving.rs
+++ b/crates/verbenahitch/src/replay/serving.rs
@@ -112,7 +112,7 @@
             let resident = Resident {
                 task: TaskKey { job, index },
                 run: self.next_run,
-                name: Arc::clone(&upstream.name),
+                name: Arc::clone(&upstream.profile_name),
                 profile: Arc::clone(&upstream.profile),
                 resources: upstream.profile.resources,
                 since: self.now,
@@ -220,11 +220,14 @@
         let mut groups: Vec<Colocated<'_>> = Vec::new();
         for id in &self.workers[at].runs {
             let run = &self.runs[id];
-            match groups.iter_mut().find(|group| *group.profile == *run.name) {
-                Some(group) => group.share += run.share,
+            match groups
+                .iter_mut()
+                .find(|group| *group.profile == *run.profile_name)
+            {
+                Some(group) => group.share += run.cpu_share,
                 None => groups.push(Colocated {
-                    profile: &run.name,
-                    share: run.share,
+                    profile: &run.profile_name,
+                    share: run.cpu_share,
                 }),
             }
         }
@@ -234,9 +237,12 @@
     fn usage(&self, at: usize, latency: Vec<LatencyReport>) -> Usage {
         let tasks = self.workers[at].runs.iter().map(|id| {
             let run = &self.runs[id];
-            let (millicores, memory_mib) =
-                self.model
-                    .usage(&run.name, &run.profile, run.committed, run.share);
+            let (millicores, memory_mib) = self.model.usage(
+                &run.profile_name,
+                &run.profile,
+                run.committed,
+                run.cpu_share,
+            );
             TaskUsage {
                 run: *id,
                 millicores,
--- a/crates/verbenahitch/src/scheduler/shard/commit.rs
+++ b/crates/verbenahitch/src/scheduler/shard/commit.rs
@@ -248,7 +248,7 @@
     fn acknowledge(&mut self, acks: Vec<(WorkerKey, u64)>) {
         for (worker, run) in acks {
             if let Some(worker) = self.workers.get_mut(worker) {
-                worker.ending.remove(&run);
+                worker.uncommitted_ends.remove(&run);
                 worker.acks.push(run);
             }
         }
--- a/crates/verbenahitch/src/scheduler/shard/ends.rs
+++ b/crates/verbenahitch/src/scheduler/shard/ends.rs
@@ -21,7 +21,7 @@
 }
 
 impl Shard {
-    /// Handles the end of a run that this owner started or adopted.
+    /// Handles the end of a run that this owner started or recovered.
     pub(super) fn on_known_end(
         &mut self,
         run: u64,
@@ -66,7 +66,7 @@
 
     /// Acknowledges the end of a run to its worker once the record's changes are durable.
     pub(super) fn ack_when_durable(&mut self, task: TaskKey, worker: WorkerKey, run: u64) {
-        self.workers[worker].ending.insert(run);
+        self.workers[worker].uncommitted_ends.insert(run);
         self.jobs[task.job].pending.acks.push((worker, run));
         self.queue_write(task.job, false);
     }
--- a/crates/verbenahitch/src/scheduler/shard/requests.rs
+++ b/crates/verbenahitch/src/scheduler/shard/requests.rs
@@ -42,6 +42,7 @@
             Request::Job(id) => self.on_job(request, &id),
             Request::Explain(task) => self.on_explain(request, &task),
             Request::Adopt(record) => self.on_adopt(request, *record, now),
+            // Answered above.
             Request::Shard => {}
         }
     }
@@ -60,7 +61,7 @@
         now: Monotonic,
     ) {
         if let Some(key) = self.by_id.get(&id).copied() {
-            return self.on_repeat(request, key, &spec);
+            return self.on_resubmit(request, key, &spec);
         }
         if let Err(error) = self.validate(&spec, now) {
             let entry = Entry::new(Kind::JobRefused)
@@ -75,7 +76,7 @@
         self.queue_write(key, true);
     }
 
-    fn on_repeat(&mut self, request: u64, key: JobKey, spec: &JobSpec) {
+    fn on_resubmit(&mut self, request: u64, key: JobKey, spec: &JobSpec) {
         let job = &mut self.jobs[key];
         if job.record.spec != *spec {
             let id = job.record.id.clone();
@@ -84,7 +85,7 @@
         self.accept(request, key);
     }
 
-    /// Answers that a job is accepted, once the store holds it.
+    /// Answers that a job is accepted, once the store holds it among this shard's jobs.
     fn accept(&mut self, request: u64, key: JobKey) {
         let job = &mut self.jobs[key];
         match (&job.stage, &mut job.inflight) {
@@ -156,6 +157,7 @@
             .with("job", &record.id)
             .with("shard", &self.name);
         self.log(entry);
+        // The store holds it in the inbox, not yet among this shard's jobs.
         let key = self.add_job(record, Stage::New, now);
         self.restore(key);
         self.jobs[key].pending.accepts.push(request);
@@ -195,7 +197,7 @@
         self.actions.push(Action::Answer { request, body });
     }
 
-    /// Ends the tasks of a cancelled job that cannot be running on any worker.
+    /// Ends the tasks of a cancelled job that are certainly not running on any worker.
     pub(super) fn cancel_waiting(&mut self, key: JobKey) {
         for index in 0..self.jobs[key].record.spec.tasks {
             let job = &mut self.jobs[key];
--- a/crates/verbenahitch/src/scheduler/shard/run_reports.rs
+++ b/crates/verbenahitch/src/scheduler/shard/run_reports.rs
@@ -25,7 +25,7 @@
             return self.evict_if_leaving(running.run, now);
         }
         if let Some(task) = self.task_key(&running.task)
-            && self.adopt_run(key, task, running, now)
+            && self.recover_run(key, task, running, now)
         {
             self.retry_commit(key, running, now);
             return self.evict_if_leaving(running.run, now);
@@ -42,8 +42,8 @@
         })
     }
 
-    /// Adopts a reported run that this owner did not start; returns whether it did.
-    fn adopt_run(
+    /// Recovers a reported run that this owner did not start; returns whether it did.
+    fn recover_run(
         &mut self,
         key: WorkerKey,
         task: TaskKey,
@@ -90,7 +90,7 @@
         true
     }
 
-    /// Retries to account for an adopted run; keeps its worker closed while the placer has no room
+    /// Retries to account for a recovered run; keeps its worker closed while the placer has no room
     /// for it.
     fn retry_commit(&mut self, key: WorkerKey, running: &Running, now: Monotonic) {
         let found = &self.runs[&running.run];
@@ -169,7 +169,7 @@
     }
 
     pub(super) fn on_ended(&mut self, key: WorkerKey, ended: &Ended, now: Monotonic) {
-        if self.workers[key].ending.contains(&ended.run) {
+        if self.workers[key].uncommitted_ends.contains(&ended.run) {
             return;
         }
         let known = self
--- a/crates/verbenahitch/src/scheduler/shard/syncs.rs
+++ b/crates/verbenahitch/src/scheduler/shard/syncs.rs
@@ -62,7 +62,7 @@
         let may_start = self.may_start(now);
         let worker = &self.workers[key];
         // A worker that did not answer gets syncs without renewal, so that its leases lapse.
-        let may_renew = now < self.authority && worker.clock.is_some() && !worker.silent;
+        let may_renew = now < self.authority && worker.clock.is_some() && !worker.sync_failed;
         if !may_start || !may_renew {
             self.withdraw_unsent(key, now);
         }
@@ -163,15 +163,15 @@
             // An earlier owner may have renewed leases until the worker accepted this epoch.
             worker.lapses_at = now + self.params.task_lease_ms;
         }
-        let silent = std::mem::replace(&mut worker.silent, false);
-        if first || silent {
+        let had_failed = std::mem::replace(&mut worker.sync_failed, false);
+        if first || had_failed {
             let entry = Entry::new(Kind::WorkerAnswering).with("worker", name);
             self.log(entry);
         }
         self.process_report(key, seq, restarted, &reply, now);
         self.placer.observe(key, &reply.usage, now);
         self.refresh_worker(key, now);
-        self.set_due(key, self.next_sync(key, first || silent, now));
+        self.set_due(key, self.next_sync(key, first || had_failed, now));
     }
 
     fn next_sync(&self, key: WorkerKey, probed: bool, now: Monotonic) -> Monotonic {
@@ -289,7 +289,7 @@
         }
         let worker = &mut self.workers[key];
         let answered = matches!(error, SyncError::Late { .. });
-        if !answered && !std::mem::replace(&mut worker.silent, true) {
+        if !answered && !std::mem::replace(&mut worker.sync_failed, true) {
             let entry = Entry::new(Kind::WorkerUnreachable)
                 .with("worker", &worker.host.name)
                 .with_text("reason", &error);
--- a/crates/verbenahitch/src/scheduler/shard/worker.rs
+++ b/crates/verbenahitch/src/scheduler/shard/worker.rs
@@ -5,12 +5,16 @@
 use crate::placement::WorkerState;
 use crate::port::{Command, HostRecord, HostState};
 
-/// Number of jobs that have to fail on a worker before it is quarantined.
+/// Number of distinct jobs whose tasks must fail on a worker, without a success in between,
+/// before it is quarantined.
 const QUARANTINE_JOBS: usize = 3;
-const MIN_PROBE_MS: Millis = 5_000;
-const MAX_PROBE_MS: Millis = 60_000;
+/// Shortest delay before the next probe.
+const MIN_PROBE_DELAY_MS: Millis = 5_000;
+/// Longest delay before the next probe.
+const MAX_PROBE_DELAY_MS: Millis = 60_000;
 
-/// A sync that was sent and not yet answered.
+/// A sync request (commands, acknowledgements and lease renewals for one worker) that was sent
+/// and not yet answered.
 #[derive(Debug)]
 pub(super) struct InFlight {
     /// Number of the sync.
@@ -21,12 +25,12 @@
     pub commands: Vec<Command>,
 }
 
-/// Quarantine of a worker on which tasks of several jobs fail.
+/// Failures of tasks on a worker, and its quarantine if they belong to several jobs.
 ///
 /// A quarantined worker gets single tasks as probes, with exponential backoff.
 #[derive(Debug, Default)]
 pub(super) struct Health {
-    failed: HashSet<JobKey>,
+    failed_jobs: HashSet<JobKey>,
     quarantined: bool,
     probe_at: Monotonic,
     backoff_ms: Millis,
@@ -35,12 +39,12 @@
 impl Health {
     /// Records a failure that the worker may have caused; returns whether a quarantine began.
     pub fn record_failure(&mut self, job: JobKey, now: Monotonic) -> bool {
-        self.failed.insert(job);
-        if !self.quarantined && self.failed.len() < QUARANTINE_JOBS {
+        self.failed_jobs.insert(job);
+        if !self.quarantined && self.failed_jobs.len() < QUARANTINE_JOBS {
             return false;
         }
         let next = self.backoff_ms.saturating_mul(2);
-        self.backoff_ms = next.clamp(MIN_PROBE_MS, MAX_PROBE_MS);
+        self.backoff_ms = next.clamp(MIN_PROBE_DELAY_MS, MAX_PROBE_DELAY_MS);
         self.probe_at = now + self.backoff_ms;
         !std::mem::replace(&mut self.quarantined, true)
     }
@@ -54,16 +58,16 @@
 /// A worker and the state that the shard's owner keeps about it.
 #[derive(Debug)]
 pub(super) struct Worker {
-    /// Key, also in the placer.
+    /// Key; the placer uses the same one.
     pub key: WorkerKey,
-    /// Its entry in the platform's list of workers.
+    /// Its entry in the platform's list of workers; a host record describes one worker.
     pub host: HostRecord,
     /// Whether the list still contains it.
     pub listed: bool,
-    /// Whether it has answered in this epoch.
+    /// Whether it has answered in this epoch of ownership.
     pub answered: bool,
-    /// Whether its last sync failed.
-    pub silent: bool,
+    /// Whether a sync has failed since the last successful one; late ones do not count.
+    pub sync_failed: bool,
     /// Sync in flight.
     pub inflight: Option<InFlight>,
     /// Commands for the next sync.
@@ -72,18 +76,20 @@
     pub acks: Vec<u64>,
     /// Reading of its clock, and when the answer with it was processed.
     pub clock: Option<(Millis, Monotonic)>,
-    /// When all leases that this owner renewed there have lapsed.
+    /// When all leases on this worker have lapsed, including an earlier owner's once it has
+    /// answered; without the margin for stopping tasks.
     pub lapses_at: Monotonic,
     /// Runs that were assigned to it or that it reported.
     pub runs: HashSet<u64>,
-    /// Ended runs whose commit is not yet durable.
-    pub ending: HashSet<u64>,
-    /// Runs that keep the worker closed: superseded ones that have to stop, and adopted ones that
-    /// the placer cannot account for.
+    /// Ended runs whose end is not yet durable.
+    pub uncommitted_ends: HashSet<u64>,
+    /// Runs that keep the worker closed: superseded ones that have to stop, and recovered ones
+    /// that the placer cannot account for.
     pub blocking_runs: HashSet<u64>,
     /// Number of runs that are being evicted.
     pub evicting: usize,
-    /// When it may first be given tasks, while its zone returns to service or after a refusal.
+    /// Earliest time at which it is given tasks: staggered while its zone returns to service, and
+    /// delayed after it refused a start.
     pub opens_at: Monotonic,
     /// Quarantine state.
     pub health: Health,
@@ -101,14 +107,14 @@
             host,
             listed: true,
             answered: false,
-            silent: false,
+            sync_failed: false,
             inflight: None,
             commands: Vec::new(),
             acks: Vec::new(),
             clock: None,
             lapses_at: Monotonic::default(),
             runs: HashSet::default(),
-            ending: HashSet::default(),
+            uncommitted_ends: HashSet::default(),
             blocking_runs: HashSet::default(),
             evicting: 0,
             opens_at,
@@ -132,7 +138,7 @@
         let live = self.listed && self.host.state == HostState::Live;
         if !live
             || !self.answered
-            || self.silent
+            || self.sync_failed
             || !self.blocking_runs.is_empty()
             || now < self.opens_at
         {
@@ -147,9 +153,10 @@
 
     /// State as text.
     pub fn describe(&self, now: Monotonic) -> String {
+        // Several cases may apply; the first one is shown.
         let words = match () {
             () if !self.answered => "not yet heard",
-            () if self.silent => "not answering",
+            () if self.sync_failed => "not answering",
             () if self.host.state == HostState::Leaving => "leaving",
             () if self.host.state == HostState::Dead => "reported dead",
             () if !self.listed => "not listed",
--- a/crates/verbenahitch/src/scheduler/shard/zone.rs
+++ b/crates/verbenahitch/src/scheduler/shard/zone.rs
@@ -169,7 +169,7 @@
     pub(super) fn drop_unlisted(&mut self, key: WorkerKey) -> bool {
         let worker = &self.workers[key];
         let recovered = self.is_recovered();
-        let holds = !worker.runs.is_empty() || !worker.ending.is_empty();
+        let holds = !worker.runs.is_empty() || !worker.uncommitted_ends.is_empty();
         if worker.listed || holds || !recovered {
             return false;
         }
--- a/testsuite/examples/peers.rs
+++ b/testsuite/examples/peers.rs
@@ -84,7 +84,7 @@
         let process = self.network.start(number, zone, role, &seeds);
         if role == Role::Scheduler {
             let client = Client::new(&self.store.address_for(zone).to_string(), 1_000);
-            let (current, handle) = (process.current.clone(), process.handle.clone());
+            let (current, handle) = (process.declarations.clone(), process.handle.clone());
             let clock = Arc::clone(&self.network.clock);
             let watch = watch::run(client, current, handle, clock);
             self.watches.push(tokio::spawn(watch));
@@ -104,7 +104,7 @@
             .processes
             .iter()
             .map(|process| {
-                let mut changes = process.current.subscribe();
+                let mut changes = process.declarations.subscribe();
                 tokio::spawn(async move {
                     let arrived = changes.wait_for(|revision| *revision > from).await;
                     arrived.expect("the process runs");
--- a/testsuite/tests/testsuite/membership/network.rs
+++ b/testsuite/tests/testsuite/membership/network.rs
@@ -29,7 +29,7 @@
     pub(super) name: String,
     pub(super) zone: String,
     pub(super) handle: Handle,
-    pub(super) current: CurrentDeclarations,
+    pub(super) declarations: CurrentDeclarations,
     pub(super) requests: mpsc::Receiver<IncomingRequest>,
 }
 
@@ -104,14 +104,14 @@
             heartbeat_ms: self.heartbeat_ms,
             timeout_ms: 12 * self.heartbeat_ms,
         };
-        let current = CurrentDeclarations::default();
+        let declarations = CurrentDeclarations::default();
         let (handle, requests) = Node::start_on_listener(
             front,
             listener,
             identity,
             &settings,
             token.to_owned(),
-            current.clone(),
+            declarations.clone(),
             Arc::clone(&self.clock),
         )
         .expect("the node starts");
@@ -119,7 +119,7 @@
             name,
             zone: zone.to_owned(),
             handle,
-            current,
+            declarations,
             requests,
         }
     }
@@ -246,7 +246,7 @@
     }
 
     pub(super) fn revision(&self) -> u64 {
-        self.current.load().revision
+        self.declarations.load().revision
     }
 }
 
--- a/testsuite/tests/testsuite/membership/peers.rs
+++ b/testsuite/tests/testsuite/membership/peers.rs
@@ -43,14 +43,16 @@
 async fn a_process_with_a_wrong_token_receives_nothing() {
     let network = Network::new(HEARTBEAT_MS);
     let first = network.start(1, "odd", Role::Scheduler, &[]);
-    first.current.advance(Arc::new(declarations(3, &["odd"])));
+    first
+        .declarations
+        .advance(Arc::new(declarations(3, &["odd"])));
     let rejected = network.start_with(2, "odd", Role::Scheduler, &[&first], "guessed", 1);
     let accepted = network.start(3, "odd", Role::Scheduler, &[&first]);
     wait_until("the accepted process has the declarations", || {
         accepted.revision() == 3
     })
     .await;
-    wait_until("the accepted process is live at the first one", || {
+    wait_until("the first process sees the accepted one as live", || {
         first.sees_live(&accepted)
     })
     .await;
@@ -106,7 +108,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_request_that_its_owner_drops_has_an_unknown_outcome() {
+async fn a_request_dropped_by_the_shard_owner_has_an_unknown_outcome() {
     let network = Network::new(HEARTBEAT_MS);
     let mut processes = chain(&network, 2);
     wait_until_all_live(&processes).await;
@@ -125,7 +127,7 @@
             .is_some_and(|m| !m.shards.is_empty())
     })
     .await;
-    let drop = tokio::spawn(async move {
+    let dropping = tokio::spawn(async move {
         drop(owner.requests.recv().await);
         owner
     });
@@ -134,7 +136,7 @@
         answer,
         Answer::Refused(SubmitError::Unclear { .. })
     ));
-    drop.await.expect("the owner has dropped the request");
+    dropping.await.expect("the owner has dropped the request");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -144,7 +146,7 @@
     wait_until_all_live(&processes).await;
     network.silence_connections();
     processes[0]
-        .current
+        .declarations
         .advance(Arc::new(declarations(9, &["odd"])));
     for process in &processes {
         wait_until("the revision arrives over new connections", || {
@@ -165,12 +167,16 @@
     .await;
     let old_address = earlier.handle.address();
     earlier.handle.clone().stop().await;
-    // The wall clock of the host was set back between the two starts.
+    // Its incarnation number is lower, as after the wall clock of the host was set back between the
+    // two starts.
     let later = network.start_with(2, "odd", Role::Scheduler, &[&first], "peers-of-the-test", 4);
-    wait_until("the later incarnation is live at its address", || {
-        first
-            .record_of(&later)
-            .is_some_and(|m| m.address != old_address && m.incarnation > 5 && !m.leaving)
-    })
+    wait_until(
+        "the first process sees the later incarnation at its new address",
+        || {
+            first
+                .record_of(&later)
+                .is_some_and(|m| m.address != old_address && m.incarnation > 5 && !m.leaving)
+        },
+    )
     .await;
 }
--- a/testsuite/tests/testsuite/membership/relay.rs
+++ b/testsuite/tests/testsuite/membership/relay.rs
@@ -68,7 +68,7 @@
         let client = Client::new(&self.store.address_for(zone).to_string(), 500);
         let watch = config::watch::run(
             client,
-            process.current.clone(),
+            process.declarations.clone(),
             process.handle.clone(),
             Arc::clone(&self.network.clock),
         );
@@ -101,7 +101,7 @@
         permit.evaluate(
             process.handle.store_contact(),
             &process.handle.store_reports(),
-            &process.current.load(),
+            &process.declarations.load(),
             &process.zone,
             self.network.now(),
         )
@@ -286,8 +286,8 @@
     let observers: Vec<JoinHandle<Vec<u64>>> = processes
         .iter()
         .map(|process| {
-            let changes = process.current.subscribe();
-            tokio::spawn(observe(changes, process.current.clone(), REVISIONS))
+            let changes = process.declarations.subscribe();
+            tokio::spawn(observe(changes, process.declarations.clone(), REVISIONS))
         })
         .collect();
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
@@ -297,7 +297,7 @@
     for revision in revisions {
         let process = &processes[rng.random_range(0..processes.len())];
         let next = Arc::new(declarations(revision, &["odd"]));
-        process.current.advance(next);
+        process.declarations.advance(next);
         let handle = process.handle.clone();
         announcements.push(tokio::spawn(async move { handle.announce().await }));
     }
--- a/testsuite/tests/testsuite/session/daemons.rs
+++ b/testsuite/tests/testsuite/session/daemons.rs
@@ -1,4 +1,4 @@
-//! Daemons of three entry hosts, and a job that they run.
+//! Daemons of three entry hosts, and a job submitted to them.
 
 use verbenahitch::port::EndKind;
 
@@ -48,8 +48,8 @@
 }
 
 /// Waits until the job is done; checks that each task ran to its end exactly once and that the
-/// workers' histories show no violation.
-pub(super) async fn finish_job(deployment: &Deployment, tasks: usize) {
+/// workers' histories violate no guarantee.
+pub(super) async fn wait_for_job(deployment: &Deployment, tasks: usize) {
     let count = u64::try_from(tasks).expect("few tasks");
     deployment.wait_for_done(2, "bureau.job", count).await;
     let done = ended_count(&deployment.histories().await, EndKind::Done);
--- a/testsuite/tests/testsuite/session/failures.rs
+++ b/testsuite/tests/testsuite/session/failures.rs
@@ -6,7 +6,7 @@
 use verbenahitch::port::{Clock as _, EndKind, SystemClock};
 use verbenahitch_standin::history::Outage;
 
-use super::daemons::{Daemons, TASKS, finish_job, start, submit_job};
+use super::daemons::{Daemons, TASKS, start, submit_job, wait_for_job};
 use super::deployment::{Deployment, ended_count, is_busy, json_output, wait_until};
 
 fn shard_of_job(deployment: &Deployment) -> String {
@@ -41,7 +41,7 @@
             daemons.schedulers[owner] = Some(process);
         }
     }
-    finish_job(&deployment, TASKS).await;
+    wait_for_job(&deployment, TASKS).await;
     assert_ne!(deployment.owner(&shard), owner);
 }
 
@@ -67,7 +67,7 @@
     .await;
     let thaw = json!({"part": "control", "fault": "thaw"});
     deployment.post_control(&fault, &thaw).await;
-    finish_job(&deployment, 4).await;
+    wait_for_job(&deployment, 4).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -78,7 +78,7 @@
     daemons.kill_all();
     let _replacements = Daemons::start(&deployment);
     deployment.wait_for_owners().await;
-    finish_job(&deployment, TASKS).await;
+    wait_for_job(&deployment, TASKS).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -105,7 +105,7 @@
     assert_eq!(charge.status(), 503);
     assert!(charge.headers().contains_key("verbenahitch-not-run"));
     deployment.post_control("/store/power", &json!("on")).await;
-    finish_job(&deployment, TASKS).await;
+    wait_for_job(&deployment, TASKS).await;
     let histories = deployment.histories().await;
     let mut requests = histories.iter().flat_map(|worker| &worker.requests);
     assert!(!requests.any(|request| request.key.as_deref() == Some("outage")));
@@ -117,7 +117,7 @@
     let lose = json!({"fault": "lose", "answers": 15});
     deployment.post_control("/store/fault", &lose).await;
     submit_job(&deployment).await;
-    finish_job(&deployment, TASKS).await;
+    wait_for_job(&deployment, TASKS).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
