--- a/crates/standin/src/command/load.rs
+++ b/crates/standin/src/command/load.rs
@@ -12,16 +12,16 @@
 use super::{CommandError, DeclarationsSnafu};
 use crate::load::{self, KindPlan, Plan};
 
-/// Options of a load.
+/// Options of the `load` subcommand.
 #[derive(Clone, Debug, Bpaf)]
 pub struct Options {
-    /// Callers' address of a gateway; may be given several times.
+    /// Address at which a gateway takes callers' requests; may be repeated.
     #[bpaf(argument("IP:PORT"), some("at least one address is needed"))]
     callers: Vec<SocketAddr>,
-    /// Declarations whose request kinds are sent.
+    /// Declarations file; all its request kinds are sent.
     #[bpaf(argument("FILE"))]
     declarations: PathBuf,
-    /// Calls per second.
+    /// Mean number of calls per second.
     #[bpaf(argument("N"), fallback(100.0))]
     rate: f64,
     /// Maximum number of calls in progress.
@@ -64,6 +64,7 @@
     } else {
         print!("{report}");
     }
+    // Fails if any answer was to another call or incomplete.
     let wrong = report.kinds.values().any(|kind| kind.wrong > 0);
     Ok(ExitCode::from(u8::from(wrong)))
 }
--- a/crates/verbenahitch/examples/slot_limits.rs
+++ b/crates/verbenahitch/examples/slot_limits.rs
@@ -2,8 +2,9 @@
 //! upstreams: with the adaptive limit, with a fixed share each, and without a limit.
 //!
 //! A simulation in virtual time: an upstream refuses a request when it has no free
-//! slot, and a request fails once three upstreams have refused it. The gateways use
-//! the real routing table and limits.
+//! slot, and a request fails once [`MAX_ATTEMPTS`] upstreams have refused it. The
+//! gateways use the real routing table and limits. Shares and refusals are means over
+//! the seeds ± the largest deviation of a seed from the mean.
 //!
 //! Usage: `cargo run --release --example slot_limits`
 
@@ -21,10 +22,10 @@
 
 const GATEWAYS: usize = 7;
 const WORKERS: usize = 50;
-const SLOTS: u32 = 8;
+const SLOTS_PER_WORKER: u32 = 8;
 const MEAN_SERVICE_US: f64 = 20_000.0;
 const DEADLINE_US: u64 = 200_000;
-const LENGTH_US: u64 = 20_000_000;
+const DURATION_US: u64 = 20_000_000;
 const SEEDS: u64 = 5;
 
 #[derive(Clone, Copy, Debug)]
@@ -64,7 +65,7 @@
 
 fn main() {
     println!(
-        "| load | callers | limit | answered in time | refusals a request | p50 ms | p99 ms |"
+        "| load | callers | limit | answered in time | refusals per request | p50 ms | p99 ms |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     let distributions = [
@@ -87,8 +88,8 @@
         let all = runs.iter().map(|run| of(run) as f64 / run.offered as f64);
         let all: Vec<f64> = all.collect();
         let mean = all.iter().sum::<f64>() / all.len() as f64;
-        let deviation = all.iter().map(|one| (one - mean).abs()).fold(0.0, f64::max);
-        format!("{mean:.3} ± {deviation:.3}")
+        let max_deviation = all.iter().map(|one| (one - mean).abs()).fold(0.0, f64::max);
+        format!("{mean:.3} ± {max_deviation:.3}")
     };
     let mut times: Vec<u64> = runs.iter().flat_map(|run| run.latencies.clone()).collect();
     times.sort_unstable();
@@ -113,8 +114,9 @@
         ..Declarations::default()
     };
     let slots = match policy {
-        Policy::Adaptive => SLOTS,
-        Policy::FixedShare => SLOTS.div_ceil(GATEWAYS as u32),
+        Policy::Adaptive => SLOTS_PER_WORKER,
+        // Rounded up: together the shares exceed the slots of a worker.
+        Policy::FixedShare => SLOTS_PER_WORKER.div_ceil(GATEWAYS as u32),
         Policy::Unlimited => 1_000,
     };
     let host = |number| HostRecord {
@@ -153,9 +155,9 @@
     }
 
     fn run(mut self, load: f64, weights: &[f64]) -> Outcome {
-        let capacity = WORKERS as f64 * f64::from(SLOTS) / MEAN_SERVICE_US;
+        let capacity = WORKERS as f64 * f64::from(SLOTS_PER_WORKER) / MEAN_SERVICE_US;
         let mut next = 0.0;
-        while next < LENGTH_US as f64 {
+        while next < DURATION_US as f64 {
             next += self.exponential(1.0 / (capacity * load));
             let now = next as u64;
             while self
@@ -187,7 +189,8 @@
         weights.iter().position(is_picked).unwrap_or(0)
     }
 
-    /// Sends a request; false if the gateway's own limits leave no slot free.
+    /// Sends a request unless the gateway's own limits leave no slot free; returns whether it
+    /// left the queue, served or failed.
     fn send(&mut self, gateway: usize, arrived: u64, now: u64) -> bool {
         let mut tried = Vec::with_capacity(MAX_ATTEMPTS);
         for _ in 0..MAX_ATTEMPTS {
@@ -198,7 +201,7 @@
             };
             let upstream = Arc::clone(choice.slot.upstream());
             let worker: usize = upstream.name.parse().expect("worker names are numbers");
-            if self.busy[worker] < SLOTS {
+            if self.busy[worker] < SLOTS_PER_WORKER {
                 self.busy[worker] += 1;
                 let end = now + self.exponential(MEAN_SERVICE_US) as u64;
                 self.ends.push(Reverse((end, self.served.len())));
--- a/crates/verbenahitch/src/dispatch/assign.rs
+++ b/crates/verbenahitch/src/dispatch/assign.rs
@@ -284,10 +284,10 @@
         if !request.needs_load() {
             return Ok(place::plain_cost(worker, request.step, same_step));
         }
-        if !self.loads.contains_key(key) {
-            self.loads.insert(key, self.load(key, now));
+        if !self.cached_loads.contains_key(key) {
+            self.cached_loads.insert(key, self.load(key, now));
         }
-        let load = &self.loads[key];
+        let load = &self.cached_loads[key];
         place::load_cost(
             &self.workers[key],
             load,
--- a/crates/verbenahitch/src/dispatch/ends.rs
+++ b/crates/verbenahitch/src/dispatch/ends.rs
@@ -8,14 +8,16 @@
     Worker, health, place,
 };
 
-/// Pause before an unanswered order is sent again, in milliseconds.
+/// Delay before a late or unanswered start, or a failed pace order, is sent again, in
+/// milliseconds.
 const RESEND_MS: Millis = 60;
 
-/// Pause before a refused order is sent again, in milliseconds.
-const REFUSED_PAUSE_MS: Millis = 250;
+/// Delay before a stop is sent after a refused start, or again after a failed stop, in
+/// milliseconds.
+const STOP_DELAY_MS: Millis = 250;
 
 impl Dispatcher {
-    /// Applies a new or changed registry entry.
+    /// Applies a new or changed registry entry; a worker is `listed` while it has one.
     pub fn upsert_worker(&mut self, info: WorkerInfo, now: Monotonic) {
         let Some(&key) = self.worker_keys.get(&info.name) else {
             let name = info.name.clone();
@@ -35,11 +37,11 @@
         if worker.info.address != info.address {
             worker.next_poll = now;
         }
-        let incarnation = worker.info.incarnation;
+        let known_incarnation = worker.info.incarnation;
         worker.info = info;
-        // The incarnation that answers the polls counts, not the one in the registry.
-        if incarnation != 0 && worker.clock.is_some() {
-            worker.info.incarnation = incarnation;
+        // Keep the incarnation learned from poll answers; the registry may be behind.
+        if known_incarnation != 0 && worker.clock.is_some() {
+            worker.info.incarnation = known_incarnation;
         }
         if self.workers[key].info.draining {
             self.stop_standing(key);
@@ -72,7 +74,12 @@
     }
 
     /// Applies the answer to a start.
-    pub fn started(&mut self, key: RunKey, result: Result<Millis, CallFailure>, now: Monotonic) {
+    pub fn on_start_answer(
+        &mut self,
+        key: RunKey,
+        result: Result<Millis, CallFailure>,
+        now: Monotonic,
+    ) {
         let Some(run) = self.runs.get_mut(key) else {
             return;
         };
@@ -84,12 +91,13 @@
                 run.confirmed_at = Some(now);
                 run.progressed_at = now;
                 run.pace = 100;
-                self.loads.remove(worker);
+                self.cached_loads.remove(worker);
                 self.workers[worker].read_clock(clock_ms, now);
                 self.mark_started(id);
             }
             Err(CallFailure::Fenced) => self.is_fenced = true,
             Err(CallFailure::Late) => {
+                // A poll extends the lease and reads the worker's clock again.
                 run.retry_at = now + RESEND_MS;
                 self.workers[worker].next_poll = now;
             }
@@ -101,14 +109,16 @@
                 );
             }
             Err(failure) => {
+                // This start had no effect; the task is placed again.
                 Entry::new(Kind::TaskRequeued)
                     .with_text("task", run.task)
                     .with("run", run.number)
                     .with("worker", &self.workers[worker].info.name)
                     .with_text("cause", format!("{failure:?}"))
                     .emit();
-                run.retry_at = now + REFUSED_PAUSE_MS;
-                // If an earlier attempt went unanswered, it may still be carried out.
+                run.retry_at = now + STOP_DELAY_MS;
+                // Stop the run in case an earlier, unanswered start still takes effect. After a
+                // first attempt there is none, so the run can end at once.
                 self.stop_run(key);
                 let is_first_try = tries == 1;
                 self.order_refused(worker, now);
@@ -120,7 +130,12 @@
     }
 
     /// Applies the answer to a stop.
-    pub fn stopped(&mut self, key: RunKey, result: Result<Millis, CallFailure>, now: Monotonic) {
+    pub fn on_stop_answer(
+        &mut self,
+        key: RunKey,
+        result: Result<Millis, CallFailure>,
+        now: Monotonic,
+    ) {
         let Some(run) = self.runs.get_mut(key) else {
             return;
         };
@@ -128,20 +143,21 @@
         match result {
             Ok(_) => {
                 run.stopped_at = Some(now);
+                // The answer also settles whether the start took effect.
                 run.confirmed_at.get_or_insert(now);
                 let worker = run.worker;
                 self.workers[worker].next_poll = now;
             }
             Err(CallFailure::Fenced) => self.is_fenced = true,
             Err(failure) => {
-                run.retry_at = now + REFUSED_PAUSE_MS;
+                run.retry_at = now + STOP_DELAY_MS;
                 log::debug!("stop order for task {} failed: {failure:?}", run.task);
             }
         }
     }
 
     /// Applies the answer to a change of pace.
-    pub fn paced(
+    pub fn on_pace_answer(
         &mut self,
         key: RunKey,
         percent: u8,
@@ -173,7 +189,7 @@
         worker: WorkerKey,
         now: Monotonic,
     ) -> RunKey {
-        // A run of an unknown step commits nothing.
+        // A run of an unknown step commits no resources.
         let spec = self.spec_of(task).cloned().unwrap_or_default();
         let amount = place::committed(&spec);
         let filler_milli = if spec.filler {
@@ -209,7 +225,7 @@
             wanted_pace: 100,
             tail_ms: 0,
         });
-        self.loads.remove(worker);
+        self.cached_loads.remove(worker);
         let state = &mut self.workers[worker];
         state.committed.add(amount);
         state.filler_milli += filler_milli;
@@ -220,7 +236,7 @@
         key
     }
 
-    /// Marks a run to be stopped by its worker.
+    /// Requests that the worker stop a run.
     pub(super) fn stop_run(&mut self, key: RunKey) {
         self.runs[key].stop_wanted = true;
         self.due_runs.insert(key);
@@ -238,7 +254,7 @@
             return;
         };
         self.assign_needed = true;
-        self.loads.remove(run.worker);
+        self.cached_loads.remove(run.worker);
         let worker = &mut self.workers[run.worker];
         worker.runs.remove(&key);
         worker.committed.remove(run.amount);
@@ -283,6 +299,7 @@
         let spec = job.step_spec(run.task.step);
         let is_standing = spec.is_some_and(|spec| spec.standing);
         let Some(task) = self.task_mut(run.task) else {
+            // A job of which only the outcome is known has no tasks.
             self.close_if_ended(id);
             return;
         };
@@ -311,7 +328,7 @@
             self.stop_run(other);
         }
         if is_newly_done {
-            self.task_done(run, now);
+            self.on_task_done(run, now);
         } else if is_exhausted {
             self.fail_job(id, now);
         }
@@ -319,18 +336,20 @@
         self.mark_dirty(id);
     }
 
-    fn task_done(&mut self, run: &Run, now: Monotonic) {
+    fn on_task_done(&mut self, run: &Run, now: Monotonic) {
         let task = run.task;
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
         if let Some(step) = job.step_mut(task.round, task.step) {
-            step.undone = step.undone.saturating_sub(1);
+            step.remaining = step.remaining.saturating_sub(1);
+            // Durations of resumed or throttled runs are not comparable.
             if !run.resumed && run.wanted_pace == 100 {
                 step.durations.push(now.since(run.started_at));
             }
         }
-        let is_done = job.begun == job.times() && job.rounds.iter().all(super::Round::is_done);
+        let is_done =
+            job.rounds_begun == job.times() && job.rounds.iter().all(super::Round::is_done);
         if is_done && !job.state.is_final() {
             job.state = JobState::Completed;
         }
@@ -370,6 +389,7 @@
         job.has_started = true;
         if job.state == JobState::Queued {
             job.state = JobState::Running;
+            // Callers may see this state before the store holds it.
             job.visible_state = JobState::Running;
         }
     }
--- a/crates/verbenahitch/src/dispatch/mitigation.rs
+++ b/crates/verbenahitch/src/dispatch/mitigation.rs
@@ -108,8 +108,8 @@
                 };
                 load.tails.push(place::Tail {
                     image: run.image,
-                    growth: 0.0,
-                    expected: expected.max(baseline),
+                    log_growth: 0.0,
+                    log_ratio: expected.max(baseline),
                 });
             }
         }
@@ -120,8 +120,8 @@
                 .sum()
         };
         for tail in &mut load.tails {
-            tail.growth = growth_of(&load.fillers, tail.image);
-            tail.expected += growth_of(&unobserved, tail.image);
+            tail.log_growth = growth_of(&load.fillers, tail.image);
+            tail.log_ratio += growth_of(&unobserved, tail.image);
         }
         load
     }
--- a/crates/verbenahitch/src/dispatch/mod.rs
+++ b/crates/verbenahitch/src/dispatch/mod.rs
@@ -93,7 +93,7 @@
     unlisted: HashMap<WorkerKey, Monotonic>,
     runs: SlotMap<RunKey, Run>,
     /// Cached loads of workers; an entry is removed when the worker's load changes.
-    loads: SecondaryMap<WorkerKey, place::Load>,
+    cached_loads: SecondaryMap<WorkerKey, place::Load>,
     /// Runs that may need an order to their worker.
     due_runs: HashSet<RunKey>,
     /// Jobs that may have tasks to place.
@@ -134,7 +134,7 @@
             worker_keys: HashMap::default(),
             unlisted: HashMap::default(),
             runs: SlotMap::with_key(),
-            loads: SecondaryMap::new(),
+            cached_loads: SecondaryMap::new(),
             due_runs: HashSet::default(),
             pending: HashSet::default(),
             recurring: Vec::new(),
@@ -181,7 +181,7 @@
 
     fn insert_job(&mut self, id: JobId, record: JobRecord, now: Now) {
         let job = Job::new(record, now);
-        if job.begun < job.times() {
+        if job.rounds_begun < job.times() {
             self.recurring.push(id);
         }
         self.jobs.insert(id, job);
--- a/crates/verbenahitch/src/dispatch/orders.rs
+++ b/crates/verbenahitch/src/dispatch/orders.rs
@@ -57,12 +57,12 @@
             let Some(job) = job else {
                 return false;
             };
-            let begun = job.begun;
+            let begun = job.rounds_begun;
             job.begin_due(wall_ms);
-            if job.begun > begun {
+            if job.rounds_begun > begun {
                 pending.insert(*id);
             }
-            job.begun < job.times()
+            job.rounds_begun < job.times()
         });
     }
 
--- a/crates/verbenahitch/src/dispatch/place.rs
+++ b/crates/verbenahitch/src/dispatch/place.rs
@@ -1,13 +1,19 @@
 //! Choice of a worker for a task.
 //!
-//! Load pattern: standing tasks hold most of the committed CPU but use less than
-//! half of it. Fillers use the idle rest and slow the standing tasks on the same
-//! worker, some images far more than others. A filler is therefore placed where
-//! most CPU is idle and where it is expected to slow standing tasks least; other
-//! tasks are placed where there are few fillers and latency targets.
+//! Load pattern: standing tasks ([`StepSpec::standing`]) hold most of the committed
+//! CPU but use less than half of it. Fillers ([`StepSpec::filler`]) use the idle rest
+//! and slow the standing tasks on the same worker, some images far more than others.
+//! A filler is therefore placed where most CPU is idle and where it is expected to
+//! slow standing tasks least; other tasks are placed where there are few fillers and
+//! latency targets.
 //!
-//! Inputs: commitments, exact by the dispatcher's own orders; tails, health and
-//! pace, as old as the last poll, about a second at most.
+//! Costs are in units of a worker's CPU: for a task without a target, a fully
+//! committed worker costs 1; for a filler, a fully idle one costs -1.
+//!
+//! A tail ratio is the tail latency of a standing task divided by its target.
+//!
+//! Inputs: commitments, exact, as the dispatcher makes them; tails, health and pace,
+//! as old as the last poll, about a second at most.
 
 use super::interference::{self, ImageId, InterferenceModel};
 use super::job::{Amount, StepSpec};
@@ -17,41 +23,42 @@
 /// half on average, and a reserve for load peaks.
 const STANDING_USE: f64 = 0.5;
 
-/// Divisor of the memory that goes with uncommitted CPU; fillers leave the quotient
-/// free. Other tasks need about half of a worker's memory for each core.
+/// Fillers leave 1/`RESERVE_DIVISOR` of the memory proportional to the uncommitted CPU
+/// free: other tasks need about half of a worker's memory per core.
 const RESERVE_DIVISOR: u64 = 2;
 
 /// Share of a filler's requested CPU that must be idle on its worker.
 const FILLER_IDLE_SHARE: f64 = 0.9;
 
-/// Cost of a rack other than that of the data, as a fraction of a worker.
+/// Cost of a rack other than that of the data.
 const OTHER_RACK_COST: f64 = 10.0;
 
-/// Cost of each task of the same step on the worker, as a fraction of a worker.
+/// Cost of each task of the same step on the worker.
 const SAME_STEP_COST: f64 = 0.05;
 
-/// Cost of the worker that the task avoids, as a fraction of a worker.
+/// Cost of the worker that the task avoids.
 pub(super) const AVOID_COST: f64 = 20.0;
 
-/// Cost of the growth of a tail, as a fraction of a worker.
+/// Cost per unit of log growth of a tail.
 const GROWTH_COST: f64 = 1.0;
 
-/// Weight of a tail above [`interference::EXCESS_RATIO`], relative to growth.
+/// Weight per unit of log tail ratio above [`interference::EXCESS_RATIO`], relative to
+/// log growth.
 const EXCESS_WEIGHT: f64 = 0.5;
 
 /// Weight of a worker's committed share for a task with a target.
-const COMMITTED_COST: f64 = 0.3;
+const COMMITTED_WEIGHT: f64 = 0.3;
 
-/// Cost of a worker without tasks of the same image, as a fraction of a worker; it
-/// exceeds the cost of a worker that is almost full.
+/// Cost of a worker without tasks of the same image. Exceeds [`COMMITTED_WEIGHT`], so
+/// that tasks with a target fill workers that already run their image.
 const NEW_IMAGE_COST: f64 = 0.5;
 
-/// Cost of each task of another image with a target, as a fraction of a worker.
+/// Cost of each task of another image with a target.
 const OTHER_IMAGE_COST: f64 = 0.2;
 
-/// Cost of a worker without standing tasks for a harmless filler, as a fraction of a
-/// worker: such workers are reserved for harmful fillers.
-const EMPTY_WORKER_COST: f64 = 0.6;
+/// Cost, for a harmless filler, of a worker without tasks with a target: such workers
+/// are reserved for harmful fillers.
+const NO_TARGET_WORKER_COST: f64 = 0.6;
 
 /// Load of a worker, as far as placement depends on it.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -64,38 +71,38 @@
     pub fillers: Vec<(ImageId, f64)>,
 }
 
-/// Tail latency of a standing task, as logarithms.
+/// Tail ratio of a standing task with a target, as logarithms.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Tail {
     pub image: ImageId,
     /// Growth that the fillers on the worker cause.
-    pub growth: f64,
-    /// Last reported tail ratio, with the growth by fillers added since.
-    pub expected: f64,
+    pub log_growth: f64,
+    /// Expected tail ratio: the last reported one, with the growth by fillers added since.
+    pub log_ratio: f64,
 }
 
-/// Effect of one more task on the tails on a worker, as logarithms.
+/// Effect of placing one more task on tail ratios, as logarithms.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct TailImpact {
     /// Largest growth of a tail.
-    pub growth: f64,
-    /// Largest tail ratio.
-    pub expected: f64,
+    pub log_growth: f64,
+    /// Largest expected tail ratio.
+    pub log_ratio: f64,
 }
 
 impl TailImpact {
     fn is_excessive(self) -> bool {
-        self.growth > interference::GROWTH_LIMIT
-            || self.expected > interference::PLACEMENT_RATIO.ln()
+        self.log_growth > interference::GROWTH_LIMIT
+            || self.log_ratio > interference::PLACEMENT_RATIO.ln()
     }
 
     fn cost(self) -> f64 {
-        let excess = (self.expected - interference::EXCESS_RATIO.ln()).max(0.0);
-        (self.growth + excess * EXCESS_WEIGHT) * GROWTH_COST
+        let excess = (self.log_ratio - interference::EXCESS_RATIO.ln()).max(0.0);
+        (self.log_growth + excess * EXCESS_WEIGHT) * GROWTH_COST
     }
 }
 
-/// Tasks of a step to be placed.
+/// Request to place tasks of a step.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AssignmentRequest<'a> {
     pub step: &'a StepSpec,
@@ -118,35 +125,41 @@
         }
     }
 
-    /// Whether its cost depends on the load of a worker.
+    /// Whether the cost of placing it depends on the load of a worker.
     pub fn needs_load(&self) -> bool {
         self.step.filler || self.step.target_ms > 0
     }
 
-    /// Effect of one more task on the tails on a worker.
-    fn tail_impact(&self, model: &InterferenceModel, load: &Load, capacity: u64) -> TailImpact {
+    /// Effect of placing one more task on a worker: of a filler on the tails there, of the
+    /// fillers there on the tail of another task.
+    fn tail_impact(
+        &self,
+        model: &InterferenceModel,
+        load: &Load,
+        capacity_milli: u64,
+    ) -> TailImpact {
         let none = TailImpact {
-            growth: 0.0,
-            expected: f64::NEG_INFINITY,
+            log_growth: 0.0,
+            log_ratio: f64::NEG_INFINITY,
         };
         let image = self.image;
         if self.step.filler {
-            let share = share_of(self.step.amount.cpu_milli, capacity);
+            let share = share_of(self.step.amount.cpu_milli, capacity_milli);
             load.tails.iter().fold(none, |worst, tail| {
                 let added = model.pressure(image, tail.image) * share;
                 TailImpact {
-                    growth: worst.growth.max(tail.growth + added),
-                    expected: worst.expected.max(tail.expected + added),
+                    log_growth: worst.log_growth.max(tail.log_growth + added),
+                    log_ratio: worst.log_ratio.max(tail.log_ratio + added),
                 }
             })
         } else {
             let each = load.fillers.iter();
-            let growth: f64 = each
+            let log_growth: f64 = each
                 .map(|(filler, share)| model.pressure(*filler, image) * share)
                 .sum();
             TailImpact {
-                growth,
-                expected: model.baseline(image) + growth,
+                log_growth,
+                log_ratio: model.baseline(image) + log_growth,
             }
         }
     }
@@ -173,7 +186,7 @@
 pub(super) enum Misfit {
     /// The worker lacks the label.
     Label,
-    /// The worker has as many tasks of the step as its spread allows.
+    /// The worker has as many tasks of the step as the step's spread allows.
     Spread,
     /// The free resources do not suffice.
     Room,
@@ -188,7 +201,7 @@
 ///
 /// # Errors
 ///
-/// When one of them does not suffice.
+/// The first requirement that the worker does not meet.
 pub(super) fn fit(worker: &Worker, step: &StepSpec, same_step: u32) -> Result<(), Misfit> {
     let info = &worker.info;
     if !step.label.is_empty() && !info.labels.contains(&step.label) {
@@ -228,12 +241,12 @@
     model: &InterferenceModel,
 ) -> Result<f64, Misfit> {
     let step = request.step;
-    let capacity = worker.info.capacity.cpu_milli;
-    let impact = request.tail_impact(model, load, capacity);
+    let capacity_milli = worker.info.capacity.cpu_milli;
+    let impact = request.tail_impact(model, load, capacity_milli);
     if !step.filler {
         let packing = image_cost(load, request.image) + f64::from(same_step) * SAME_STEP_COST;
         return Ok(rack_cost(worker, step)
-            + committed_share(worker) * COMMITTED_COST
+            + committed_share(worker) * COMMITTED_WEIGHT
             + packing
             + impact.cost());
     }
@@ -245,11 +258,11 @@
         return Err(Misfit::Busy);
     }
     let reserved = if load.tails.is_empty() {
-        EMPTY_WORKER_COST * (1.0 - request.harmfulness)
+        NO_TARGET_WORKER_COST * (1.0 - request.harmfulness)
     } else {
         0.0
     };
-    let idle = idle / as_float(capacity.max(1));
+    let idle = idle / as_float(capacity_milli.max(1));
     Ok(rack_cost(worker, step) + reserved + impact.cost() - idle)
 }
 
@@ -271,8 +284,8 @@
     free.cpu_milli * capacity.memory_mb / capacity.cpu_milli.max(1) / RESERVE_DIVISOR
 }
 
-/// Cost of a worker for a standing task by the images that serve there. Tasks of one
-/// image are packed together, so that workers without the image remain for fillers
+/// Cost from the images of the standing tasks with a target on the worker. Tasks of
+/// one image are packed together, so that workers without the image remain for fillers
 /// that slow it.
 fn image_cost(load: &Load, image: ImageId) -> f64 {
     let is_same = |tail: &&Tail| tail.image == image;
--- a/crates/verbenahitch/src/dispatch/polls.rs
+++ b/crates/verbenahitch/src/dispatch/polls.rs
@@ -81,7 +81,12 @@
     }
 
     /// Applies the outcome of a poll.
-    pub fn polled(&mut self, key: WorkerKey, result: Result<Report, CallFailure>, now: Monotonic) {
+    pub fn on_poll_answer(
+        &mut self,
+        key: WorkerKey,
+        result: Result<Report, CallFailure>,
+        now: Monotonic,
+    ) {
         let Some(worker) = self.workers.get_mut(key) else {
             return;
         };
@@ -112,7 +117,7 @@
         {
             self.worker_restarted(key, report.incarnation, now);
         }
-        self.loads.remove(key);
+        self.cached_loads.remove(key);
         let worker = &mut self.workers[key];
         if worker.info.incarnation == 0 {
             worker.info.incarnation = report.incarnation;
--- a/crates/verbenahitch/src/dispatch/recover.rs
+++ b/crates/verbenahitch/src/dispatch/recover.rs
@@ -25,7 +25,7 @@
         job.visible_state = progress.state;
         job.has_started = !progress.tasks.is_empty();
         let last = progress.tasks.iter().map(|task| task.at.0).max();
-        while job.begun <= last.unwrap_or(0) && job.begun < job.times() {
+        while job.rounds_begun <= last.unwrap_or(0) && job.rounds_begun < job.times() {
             job.begin_round();
         }
         for task in progress.tasks {
@@ -54,7 +54,7 @@
             && let Some(job) = self.jobs.get_mut(&id)
             && let Some(step) = job.step_mut(round, step)
         {
-            step.undone = step.undone.saturating_sub(1);
+            step.remaining = step.remaining.saturating_sub(1);
         }
         let is_obsolete = record.done || self.is_job_final(id);
         for run in record.runs {
--- a/crates/verbenahitch/src/dispatch/table.rs
+++ b/crates/verbenahitch/src/dispatch/table.rs
@@ -38,7 +38,7 @@
 pub(super) struct Step {
     pub tasks: Vec<Task>,
     /// Number of tasks that are not done.
-    pub undone: u32,
+    pub remaining: u32,
     /// Whether the wait of the step has been logged.
     pub wait_logged: bool,
     /// Durations of completed runs that were neither resumed nor throttled, in milliseconds.
@@ -56,7 +56,7 @@
     pub fn new(number: u32, spec: &JobSpec) -> Self {
         let step = |spec: &StepSpec| Step {
             tasks: vec![Task::default(); spec.count as usize],
-            undone: spec.count,
+            remaining: spec.count,
             wait_logged: false,
             durations: Vec::new(),
         };
@@ -68,14 +68,16 @@
 
     /// Whether the steps that `spec` depends on are done.
     pub fn is_ready(&self, spec: &StepSpec) -> bool {
-        spec.after
-            .iter()
-            .all(|on| self.steps.get(*on as usize).is_some_and(|s| s.undone == 0))
+        spec.after.iter().all(|on| {
+            self.steps
+                .get(*on as usize)
+                .is_some_and(|s| s.remaining == 0)
+        })
     }
 
     /// Whether all steps are done.
     pub fn is_done(&self) -> bool {
-        self.steps.iter().all(|step| step.undone == 0)
+        self.steps.iter().all(|step| step.remaining == 0)
     }
 }
 
@@ -88,8 +90,8 @@
     /// Acceptance on this process's clock.
     pub accepted_at: Monotonic,
     pub rounds: Vec<Round>,
-    /// Repetitions that have begun.
-    pub begun: u32,
+    /// Number of repetitions that have begun.
+    pub rounds_begun: u32,
     pub state: JobState,
     /// State that callers are shown: a final one only once the store holds it.
     pub visible_state: JobState,
@@ -108,7 +110,7 @@
             critical_paths: step_order::critical_paths(&record.spec),
             accepted_at: now.at - age,
             rounds: Vec::new(),
-            begun: 0,
+            rounds_begun: 0,
             state: JobState::Queued,
             visible_state: JobState::Queued,
             has_started: false,
@@ -153,9 +155,9 @@
 
     /// Begins the repetitions that are due.
     pub fn begin_due(&mut self, wall_ms: Millis) {
-        while self.begun < self.times() {
+        while self.rounds_begun < self.times() {
             let due = self.record.spec.repeat.map_or(0, |repeat| {
-                repeat.first_ms + repeat.interval_ms * Millis::from(self.begun)
+                repeat.first_ms + repeat.interval_ms * Millis::from(self.rounds_begun)
             });
             if wall_ms < due {
                 return;
@@ -166,8 +168,9 @@
 
     /// Begins the next repetition.
     pub fn begin_round(&mut self) {
-        self.rounds.push(Round::new(self.begun, &self.record.spec));
-        self.begun += 1;
+        self.rounds
+            .push(Round::new(self.rounds_begun, &self.record.spec));
+        self.rounds_begun += 1;
     }
 
     /// Round of that number, if it has begun.
--- a/crates/verbenahitch/src/entry/owner/commit.rs
+++ b/crates/verbenahitch/src/entry/owner/commit.rs
@@ -1,5 +1,6 @@
 //! Commits of the owner. At most one is in flight. Each is conditional on this
-//! process still being the owner and on no other commit since its previous one.
+//! process still being the owner and on no commit by anyone else since this process's
+//! last one.
 
 use std::time::Duration;
 
@@ -11,19 +12,24 @@
 use crate::entry::{observe, watcher};
 use crate::port::{Clock, KeyValue, KvError, Platform, Put, Transaction};
 
-/// Least time between two writes of the learned pressures, in milliseconds. Long
-/// enough to add no noticeable load to the commits.
+/// Minimum interval between two writes of the learned pressures between images (see
+/// `dispatch::interference`), in milliseconds. Long enough to add no noticeable load to
+/// the commits.
 const PRESSURES_INTERVAL_MS: Millis = 3_000;
 
 impl<P: Platform> Driver<P> {
     pub(super) fn build_transaction(&self, writes: &[Write]) -> Transaction {
-        let mark = format!("{:016x}", rand::random::<u64>());
+        // Identifies this commit if its answer is lost.
+        let commit_id = format!("{:016x}", rand::random::<u64>());
         let mut transaction = Transaction {
             expected: vec![
                 (keys::OWNER.to_owned(), self.term.fence),
                 (keys::COMMIT.to_owned(), self.commit_revision),
             ],
-            puts: vec![Put::persistent(keys::COMMIT.to_owned(), mark.into_bytes())],
+            puts: vec![Put::persistent(
+                keys::COMMIT.to_owned(),
+                commit_id.into_bytes(),
+            )],
             removes: Vec::new(),
         };
         for write in writes {
@@ -46,13 +52,14 @@
         transaction
     }
 
-    /// Adds the learned pressures if they are due and have changed; updates the gauges.
+    /// Adds the learned pressures if they have changed and updates the gauges, at most once
+    /// per [`PRESSURES_INTERVAL_MS`].
     pub(super) fn add_pressures(&mut self, transaction: &mut Transaction) {
         let now = self.clock.now();
-        if now.since(self.pressures_at) < PRESSURES_INTERVAL_MS {
+        if now.since(self.checked_at) < PRESSURES_INTERVAL_MS {
             return;
         }
-        self.pressures_at = now;
+        self.checked_at = now;
         let (workers, runs) = self.dispatcher.counts(now);
         observe::set_owner_gauges(workers, runs);
         let learned = self.dispatcher.learned_pressures();
@@ -63,7 +70,7 @@
         }
     }
 
-    /// Sends the commit in flight after a delay.
+    /// Sends the pending commit after a delay.
     pub(super) fn send_commit(&mut self, delay: Duration) {
         let Some((transaction, _)) = &self.pending_commit else {
             return;
@@ -91,15 +98,15 @@
                 self.dispatcher.commit_stored(now);
             }
             Err(KvError::Conflict { items }) => {
-                // An earlier attempt that got no answer may have been applied.
-                let own_mark = self
+                // The conflict may be with an earlier, unanswered attempt of this same commit.
+                let own_id = self
                     .pending_commit
                     .as_ref()
                     .map(|(t, _)| t.puts[0].value.clone());
                 let owner = items.iter().find(|item| item.key == keys::OWNER);
                 let last = items.iter().find(|item| item.key == keys::COMMIT);
                 let is_owner = owner.is_some_and(|item| item.created == self.term.fence);
-                let applied = last.filter(|item| Some(&item.value) == own_mark.as_ref());
+                let applied = last.filter(|item| Some(&item.value) == own_id.as_ref());
                 let Some(applied) = applied.filter(|_| is_owner) else {
                     return Some(if owner.is_none() {
                         Outcome::LeaseEnded
--- a/crates/verbenahitch/src/entry/owner/driver.rs
+++ b/crates/verbenahitch/src/entry/owner/driver.rs
@@ -37,7 +37,7 @@
 const RELIST_MS: Millis = 2_500;
 
 /// Largest number of jobs in one commit. Three entries per job, the conditions, the
-/// commit mark and the learned pressures fill the largest transaction that the store
+/// commit ID and the learned pressures fill the largest transaction that the store
 /// accepts.
 const MAX_COMMIT_JOBS: usize = 8;
 
@@ -55,7 +55,8 @@
     pub(super) worker_names: HashMap<String, String>,
     pub(super) commit_revision: u64,
     pub(super) stored_pressures: Vec<Pressure>,
-    pub(super) pressures_at: Monotonic,
+    /// When the learned pressures were last compared with the stored ones.
+    pub(super) checked_at: Monotonic,
     pub(super) pending_commit: Option<(Transaction, Instant)>,
     pub(super) calls: JoinSet<()>,
 }
@@ -92,7 +93,7 @@
             commit_revision: commit?.map_or(0, |item| item.revision),
             pending_commit: None,
             stored_pressures: Vec::new(),
-            pressures_at: clock.now(),
+            checked_at: clock.now(),
             calls: JoinSet::new(),
         };
         if let Some(learned) = learned?.as_ref().and_then(decode::<Vec<Pressure>>) {
@@ -206,11 +207,15 @@
             OwnerEvent::Waiting(queue, answer) => {
                 let _ = answer.send(self.dispatcher.waiting(&queue));
             }
-            OwnerEvent::Polled(worker, result) => self.dispatcher.polled(worker, result, now.at),
-            OwnerEvent::Started(run, result) => self.dispatcher.started(run, result, now.at),
-            OwnerEvent::Stopped(run, result) => self.dispatcher.stopped(run, result, now.at),
+            OwnerEvent::Polled(worker, result) => {
+                self.dispatcher.on_poll_answer(worker, result, now.at)
+            }
+            OwnerEvent::Started(run, result) => {
+                self.dispatcher.on_start_answer(run, result, now.at)
+            }
+            OwnerEvent::Stopped(run, result) => self.dispatcher.on_stop_answer(run, result, now.at),
             OwnerEvent::Paced(run, percent, result) => {
-                self.dispatcher.paced(run, percent, result, now.at);
+                self.dispatcher.on_pace_answer(run, percent, result, now.at);
             }
             OwnerEvent::Committed(result) => return self.handle_committed(result),
             OwnerEvent::Registry(update) => self.apply_registry(update),
--- a/crates/verbenahitch/src/event/trace.rs
+++ b/crates/verbenahitch/src/event/trace.rs
@@ -5,8 +5,9 @@
 use super::Kind;
 use crate::domain::Millis;
 
-/// Numbers of the events about ownership, the store and permits. They can affect any
-/// job and are shown with it.
+/// Numbers of the events about ownership, the store and permits, the 300s of [`Kind`].
+/// They can affect any job and are shown with it if they fall between its first and last
+/// line.
 const CONTEXT_EVENTS: std::ops::Range<u16> = 300..400;
 
 /// One line of a log.
@@ -27,18 +28,19 @@
     ///
     /// Returns `None` if it is not a log line.
     fn parse(text: &str) -> Option<Self> {
-        let start = text.find('{')?;
-        let value: Value = serde_json::from_str(text[start..].trim_end()).ok()?;
-        let text = |name: &str| value[name].as_str().unwrap_or_default().to_owned();
+        let brace = text.find('{')?;
+        let value: Value = serde_json::from_str(text[brace..].trim_end()).ok()?;
+        let string_field = |name: &str| value[name].as_str().unwrap_or_default().to_owned();
         Some(Self {
             time: value["time"].as_u64()?,
-            process: text("process"),
+            process: string_field("process"),
             fields: value["entry"].as_object().cloned().unwrap_or_default(),
-            text: text("text"),
+            text: string_field("text"),
         })
     }
 
-    /// Returns whether a field or the text contains `id` or the name of one of its tasks.
+    /// Returns whether a field or the text contains `id` or, for a job, the name of one of
+    /// its tasks.
     fn mentions(&self, id: &str) -> bool {
         let fields = self.fields.values().filter_map(Value::as_str);
         let mut texts = fields.chain([self.text.as_str()]);
@@ -93,10 +95,10 @@
 /// Log lines about one job or task.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LogTrace {
-    /// Its lines as text in order of time, together with the events about ownership,
-    /// the store and permits between its first and last line.
+    /// The lines about the job or task, formatted and ordered by time, together with the
+    /// events about ownership, the store and permits between its first and last line.
     pub lines: Vec<String>,
-    /// Number of lines that are not log lines.
+    /// Number of non-blank lines that could not be parsed.
     pub unparsed: usize,
 }
 
--- a/crates/verbenahitch/src/gateway/path/body.rs
+++ b/crates/verbenahitch/src/gateway/path/body.rs
@@ -17,8 +17,8 @@
 pub struct Limits {
     /// Largest size in bytes.
     pub size: u64,
-    /// Longest time without progress.
-    pub silence: Duration,
+    /// Maximum time between two reads that return data.
+    pub idle_timeout: Duration,
     /// Longest time for the whole body.
     pub total: Duration,
 }
@@ -27,7 +27,7 @@
 ///
 /// # Errors
 ///
-/// The refusal that the caller gets. A body that ended early is not forwarded.
+/// Fails if the body is too large, arrives too slowly or ends before its declared length.
 pub async fn read(data: Data<'_>, head: &Head, limits: Limits) -> Result<Vec<u8>, Refusal> {
     let read = rocket::tokio::time::timeout(limits.total, read_all(data, head, limits));
     match read.await {
@@ -42,7 +42,7 @@
     let mut body = Vec::with_capacity(expected.min(READ_SIZE));
     loop {
         body.reserve(expected.saturating_sub(body.len()).clamp(512, READ_SIZE));
-        let read = rocket::tokio::time::timeout(limits.silence, stream.read_buf(&mut body));
+        let read = rocket::tokio::time::timeout(limits.idle_timeout, stream.read_buf(&mut body));
         match read.await {
             Err(_) => return Err(slow_sender()),
             Ok(Err(error)) => return Err(ended_early(&error)),
--- a/crates/verbenahitch/src/gateway/path/forward.rs
+++ b/crates/verbenahitch/src/gateway/path/forward.rs
@@ -31,7 +31,7 @@
     /// Largest body in bytes.
     pub size: u64,
     /// Longest time without progress within the body.
-    pub silence: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// Outcome of an attempt.
@@ -141,7 +141,7 @@
     }
     let mut body = Vec::with_capacity(usize::try_from(length).unwrap_or(0));
     loop {
-        match tokio::time::timeout(limits.silence, response.chunk()).await {
+        match tokio::time::timeout(limits.idle_timeout, response.chunk()).await {
             Err(_) => {
                 return Err((
                     UnknownCause::Truncated,
--- a/crates/verbenahitch/src/gateway/path/handler.rs
+++ b/crates/verbenahitch/src/gateway/path/handler.rs
@@ -136,7 +136,7 @@
     let allowed = allowed.min(profile.deadline_ms);
     let limits = body::Limits {
         size: settings.body_limit,
-        silence: Duration::from_millis(settings.silence_ms),
+        idle_timeout: Duration::from_millis(settings.silence_ms),
         total: Duration::from_millis(allowed),
     };
     let body = body::read(data, &head, limits).await?;
--- a/crates/verbenahitch/src/gateway/path/serve.rs
+++ b/crates/verbenahitch/src/gateway/path/serve.rs
@@ -221,7 +221,7 @@
     let client = upstream.client();
     let limits = Limits {
         size: shared.settings.gateway.answer_limit,
-        silence: Duration::from_millis(shared.settings.gateway.silence_ms),
+        idle_timeout: Duration::from_millis(shared.settings.gateway.silence_ms),
     };
     let remaining = call.deadline.since(shared.now());
     let started = std::time::Instant::now();
--- a/crates/verbenahitch/src/scheduler/daemon/driver.rs
+++ b/crates/verbenahitch/src/scheduler/daemon/driver.rs
@@ -15,7 +15,7 @@
 use crate::port::{Clock, SyncError, SyncRequest};
 use crate::scheduler::{Action, Answer, Batch, Input, Request, Shard, ShardStatus, SubmitError};
 
-/// Longest time between two steps, in milliseconds.
+/// Maximum wait for a message before a tick, in milliseconds.
 const MAX_PAUSE_MS: u64 = 100;
 
 /// Longest time between the decision on a sync and its sending, in milliseconds.
@@ -30,7 +30,8 @@
 /// Longest time that a release waits for the store and the workers, in milliseconds.
 const RELEASE_TIMEOUT_MS: u64 = 3_000;
 
-/// Time after which a caller should retry while the shard changes owner, in milliseconds.
+/// Retry delay for callers of a shard that this process does not own, for example while the
+/// shard changes owner, in milliseconds.
 const RETRY_MS: u64 = 1_000;
 
 /// Message to the driver of a shard.
@@ -50,7 +51,7 @@
 pub(super) enum Exit {
     /// It was told to release the shard and has no calls in progress.
     Released {
-        /// Whether no leases but those of this owner can remain on the shard.
+        /// Whether all leases of earlier owners have lapsed or are known.
         recovered: bool,
     },
     /// Another process owns the shard.
@@ -58,20 +59,21 @@
 }
 
 /// Command to the task that runs a shard's commits, executed in order.
-enum Commit {
+enum WriterCommand {
     Batch(Batch),
+    /// The job's record is in the inbox; its first write deletes it there.
     ExpectInInbox(crate::domain::JobId),
 }
 
-/// Driver of one shard.
-pub(super) struct Driver {
+/// Event loop of one shard.
+pub(super) struct ShardDriver {
     shard: Shard,
     clock: Arc<dyn Clock>,
     workers: WorkerClient,
     messages: mpsc::UnboundedReceiver<Message>,
     sender: mpsc::UnboundedSender<Message>,
-    commits: mpsc::UnboundedSender<Commit>,
-    writer: JoinHandle<()>,
+    commits: mpsc::UnboundedSender<WriterCommand>,
+    commit_task: JoinHandle<()>,
     replies: HashMap<u64, oneshot::Sender<Answer>>,
     last_request: u64,
     syncs: tokio::task::JoinSet<()>,
@@ -79,7 +81,7 @@
     publish_due: Monotonic,
 }
 
-impl Driver {
+impl ShardDriver {
     /// Creates the driver of `shard`, whose commits go through `writer`.
     pub(super) fn new(
         shard: Shard,
@@ -99,7 +101,7 @@
             clock,
             workers,
             messages,
-            writer: tokio::spawn(run_commits(writer, queued, sender.clone())),
+            commit_task: tokio::spawn(run_commits(writer, queued, sender.clone())),
             sender,
             commits,
             replies: HashMap::default(),
@@ -167,7 +169,7 @@
 
     fn adopt(&mut self, record: crate::domain::JobRecord) -> Option<Exit> {
         self.commits
-            .send(Commit::ExpectInInbox(record.id.clone()))
+            .send(WriterCommand::ExpectInInbox(record.id.clone()))
             .ok();
         self.last_request += 1;
         self.step(Input::Requested {
@@ -187,7 +189,7 @@
                     request,
                 } => self.sync(worker, address, request),
                 Action::Commit(batch) => {
-                    self.commits.send(Commit::Batch(batch)).ok();
+                    self.commits.send(WriterCommand::Batch(batch)).ok();
                 }
                 Action::Answer { request, body } => {
                     if let Some(reply) = self.replies.remove(&request) {
@@ -205,11 +207,11 @@
         let workers = self.workers.clone();
         let sender = self.sender.clone();
         let clock = Arc::clone(&self.clock);
-        let sent = clock.now();
+        let decided_at = clock.now();
         while self.syncs.try_join_next().is_some() {}
         self.syncs.spawn(async move {
             let seq = request.seq;
-            let answer = if clock.now().since(sent) > MAX_SEND_DELAY_MS {
+            let answer = if clock.now().since(decided_at) > MAX_SEND_DELAY_MS {
                 let reason = "the process was paused between the decision and the call".to_owned();
                 Err(SyncError::Unreachable { reason })
             } else {
@@ -221,7 +223,7 @@
                 Ok(reply) => Input::Synced {
                     worker,
                     seq,
-                    sent,
+                    sent: decided_at,
                     reply,
                 },
                 Err(error) => Input::SyncFailed { worker, seq, error },
@@ -230,7 +232,7 @@
         });
     }
 
-    /// Waits for all calls in progress, so that none of this owner's takes effect later.
+    /// Waits for all calls in progress, so that no call of this owner takes effect after the exit.
     async fn finish(mut self, exit: Exit) -> Exit {
         let now = self.clock.now();
         for action in self.shard.step(Input::Lost, now) {
@@ -240,7 +242,7 @@
         }
         while self.syncs.join_next().await.is_some() {}
         drop(self.commits);
-        self.writer.await.ok();
+        self.commit_task.await.ok();
         for (_, reply) in self.replies.drain() {
             let reason = "the shard changes hands".to_owned();
             let unclear = SubmitError::Unclear { reason };
@@ -260,13 +262,13 @@
 
 async fn run_commits(
     mut writer: Writer,
-    mut commits: mpsc::UnboundedReceiver<Commit>,
+    mut commits: mpsc::UnboundedReceiver<WriterCommand>,
     sender: mpsc::UnboundedSender<Message>,
 ) {
     while let Some(commit) = commits.recv().await {
         match commit {
-            Commit::ExpectInInbox(id) => writer.expect_in_inbox(id),
-            Commit::Batch(batch) => {
+            WriterCommand::ExpectInInbox(id) => writer.expect_in_inbox(id),
+            WriterCommand::Batch(batch) => {
                 let result = writer.commit(&batch).await;
                 let outcome = if result.is_ok() { "stored" } else { "failed" };
                 counter!("verbenahitch_commits_total", "outcome" => outcome).increment(1);
--- a/crates/verbenahitch/src/scheduler/daemon/owner/mod.rs
+++ b/crates/verbenahitch/src/scheduler/daemon/owner/mod.rs
@@ -15,7 +15,7 @@
 
 use super::acquire::Acquired;
 use super::commit::Writer;
-use super::driver::{Driver, Exit, Message, not_owner};
+use super::driver::{Exit, Message, ShardDriver, not_owner};
 use super::process_name;
 use super::session::Session;
 use super::store_poll::PollResult;
@@ -44,7 +44,7 @@
     status: watch::Receiver<ShardStatus>,
     driver: JoinHandle<Exit>,
     /// Jobs of the inbox that were passed to the driver.
-    adopted: HashSet<JobId>,
+    forwarded: HashSet<JobId>,
     revision: u64,
     hosts: Arc<Vec<HostRecord>>,
 }
@@ -69,7 +69,8 @@
     /// Shards that this process has released, and until when it does not acquire them again.
     cooldowns: HashMap<ShardId, Monotonic>,
     rounds: u64,
-    inbox_due: u64,
+    /// Round in which the inboxes are read next.
+    next_inbox_round: u64,
 }
 
 impl Owner {
@@ -100,7 +101,7 @@
             releases: JoinSet::new(),
             cooldowns: HashMap::default(),
             rounds: 0,
-            inbox_due: 0,
+            next_inbox_round: 0,
         }
     }
 
@@ -245,7 +246,7 @@
             jobs: acquired.jobs,
             released: acquired.released,
         });
-        let driver = Driver::new(
+        let driver = ShardDriver::new(
             logic,
             self.clock.clone(),
             self.workers.clone(),
@@ -259,7 +260,7 @@
             sender,
             status: watched,
             driver: tokio::spawn(driver.run()),
-            adopted: HashSet::default(),
+            forwarded: HashSet::default(),
             revision: declared.revision,
             hosts: Arc::new(Vec::new()),
         }
--- a/crates/verbenahitch/src/scheduler/daemon/owner/vacancy.rs
+++ b/crates/verbenahitch/src/scheduler/daemon/owner/vacancy.rs
@@ -1,4 +1,4 @@
-//! Polls the store for inboxes and for shards without an owner.
+//! Reads the inboxes of owned shards and acquires shards without an owner.
 
 use super::{INBOX_ROUNDS, Owner};
 use crate::collections::HashSet;
@@ -21,14 +21,14 @@
             let result = poll.await.unwrap_or_default();
             self.apply_poll(result, session);
         }
-        let inboxes: Vec<ShardId> = if self.rounds >= self.inbox_due {
-            self.inbox_due = self.rounds + INBOX_ROUNDS;
+        let inboxes: Vec<ShardId> = if self.rounds >= self.next_inbox_round {
+            self.next_inbox_round = self.rounds + INBOX_ROUNDS;
             self.owned.keys().cloned().collect()
         } else {
             Vec::new()
         };
-        let vacant = self.shards_to_acquire(now);
-        if inboxes.is_empty() && vacant.is_empty() {
+        let to_acquire = self.shards_to_acquire(now);
+        if inboxes.is_empty() && to_acquire.is_empty() {
             return;
         }
         let poll = StorePoll {
@@ -36,7 +36,7 @@
             session: session.clone(),
             name: self.name.clone(),
             inboxes,
-            vacant,
+            to_acquire,
         };
         self.poll = Some(tokio::spawn(poll.run()));
     }
@@ -47,7 +47,7 @@
                 continue;
             };
             for record in records {
-                if owned.adopted.insert(record.id.clone()) {
+                if owned.forwarded.insert(record.id.clone()) {
                     owned
                         .sender
                         .send(Message::HandedOver(Box::new(record)))
@@ -56,6 +56,7 @@
             }
         }
         for (shard, session_id, acquired) in result.acquired {
+            // A shard acquired under an earlier session is not locked by this one.
             if session_id == session.id {
                 let owned = self.start_driver(&shard, session, acquired);
                 self.owned.insert(shard, owned);
@@ -63,16 +64,16 @@
         }
     }
 
-    /// Shards without a known owner that this process should acquire now.
+    /// Shards that have no known owner and that this process should acquire now.
     pub(super) fn shards_to_acquire(&mut self, now: Monotonic) -> Vec<ShardId> {
-        let declared = self.current.load();
+        let declarations = self.current.load();
         let members = self.handle.members();
         let claimed: HashSet<&str> = members
             .iter()
             .flat_map(|member| member.shards.iter().map(|claim| claim.shard.as_str()))
             .collect();
         let mut wanted = Vec::new();
-        for shard in declared.shards() {
+        for shard in declarations.shards() {
             if self.cooldowns.get(&shard).is_some_and(|until| now < *until) {
                 continue;
             }
--- a/crates/verbenahitch/src/scheduler/daemon/store_poll.rs
+++ b/crates/verbenahitch/src/scheduler/daemon/store_poll.rs
@@ -13,7 +13,7 @@
     /// Owned shards whose inbox is due.
     pub(super) inboxes: Vec<ShardId>,
     /// Shards without an owner, to be acquired.
-    pub(super) vacant: Vec<ShardId>,
+    pub(super) to_acquire: Vec<ShardId>,
 }
 
 /// Result of a poll.
@@ -36,7 +36,7 @@
             }
         }
         let session = self.session.id;
-        for shard in self.vacant {
+        for shard in self.to_acquire {
             match acquire::acquire(&self.store, &shard, &session, &self.name).await {
                 Ok(Some(acquired)) => result.acquired.push((shard, session.clone(), acquired)),
                 Ok(None) => {}
--- a/crates/verbenahitch/src/scheduler/shard/commit.rs
+++ b/crates/verbenahitch/src/scheduler/shard/commit.rs
@@ -295,7 +295,7 @@
         };
         self.queues
             .set_membership(&job.profile_name, job.order, key, false, false);
-        self.queues.queue(&job.profile_name).ahead -= job.ready.len();
+        self.queues.queue(&job.profile_name).marked_ahead -= job.ready.len();
         self.by_id.remove(&job.record.id);
         for remaining in [effects, job.pending] {
             self.acknowledge(remaining.acks);
--- a/crates/verbenahitch/src/scheduler/shard/mod.rs
+++ b/crates/verbenahitch/src/scheduler/shard/mod.rs
@@ -290,9 +290,9 @@
         };
         let queue = self.queues.queue(&job.profile_name);
         match before {
-            Some(Phase::Marking) => queue.ahead -= 1,
+            Some(Phase::Marking) => queue.marked_ahead -= 1,
             Some(Phase::Ready) => {
-                queue.ahead -= 1;
+                queue.marked_ahead -= 1;
                 job.ready.remove(&task.index);
             }
             Some(Phase::Running(_)) => job.running -= 1,
@@ -302,9 +302,9 @@
             Some(Phase::Requeueing(_) | Phase::Delayed) | None => {}
         }
         match phase {
-            Some(Phase::Marking) => queue.ahead += 1,
+            Some(Phase::Marking) => queue.marked_ahead += 1,
             Some(Phase::Ready) => {
-                queue.ahead += 1;
+                queue.marked_ahead += 1;
                 job.ready.insert(task.index);
             }
             Some(Phase::Running(_)) => job.running += 1,
--- a/crates/verbenahitch/src/scheduler/shard/profile_queue.rs
+++ b/crates/verbenahitch/src/scheduler/shard/profile_queue.rs
@@ -3,6 +3,8 @@
 //! Whether a task finds room depends on its profile. A pass over the queues
 //! therefore skips the rest of a queue once its first task finds no room, and
 //! never visits every waiting job.
+//!
+//! A task is marked in the store as startable before it is started.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -19,9 +21,9 @@
     pub unmarked: BTreeSet<(Order, JobKey)>,
     /// Jobs with tasks that may be started.
     pub ready: BTreeSet<(Order, JobKey)>,
-    /// Number of tasks that are marked, durably or not, and not running.
-    pub ahead: usize,
-    /// Reason last logged for its first task to wait, and when.
+    /// Number of tasks that are marked, including marks not yet durable, and not running.
+    pub marked_ahead: usize,
+    /// Last logged reason why the first task waits, and when it was logged.
     pub last_wait: Option<(String, Monotonic)>,
 }
 
@@ -32,13 +34,13 @@
 }
 
 impl ProfileQueues {
-    /// Queue of a profile.
+    /// Queue of a profile, created if missing.
     pub fn queue(&mut self, name: &Arc<str>) -> &mut ProfileQueue {
         self.by_name.entry(Arc::clone(name)).or_default()
     }
 
     /// Profiles with unmarked tasks, the urgent ones first.
-    pub fn names(&self) -> Vec<Arc<str>> {
+    pub fn profiles_with_unmarked(&self) -> Vec<Arc<str>> {
         let (urgent, other): (Vec<_>, Vec<_>) = self
             .by_name
             .iter()
@@ -51,7 +53,8 @@
             .collect()
     }
 
-    /// Next job to start, with the profile of its queue; skips the queues in `blocked`.
+    /// Next job to start, with its profile; skips the profiles in `blocked`, whose first task has to
+    /// wait.
     pub fn first_ready(&self, blocked: &[Arc<str>]) -> Option<(Arc<str>, JobKey)> {
         self.by_name
             .iter()
--- a/crates/verbenahitch/src/scheduler/shard/starts.rs
+++ b/crates/verbenahitch/src/scheduler/shard/starts.rs
@@ -40,9 +40,9 @@
         if due {
             self.marks_due = now + PASS_MS;
         }
-        for name in self.queues.names() {
+        for name in self.queues.profiles_with_unmarked() {
             let budget = self.mark_budget(&name, due, now);
-            while self.queues.queue(&name).ahead < budget {
+            while self.queues.queue(&name).marked_ahead < budget {
                 let Some((_, key)) = self.queues.queue(&name).unmarked.first().copied() else {
                     break;
                 };
--- a/crates/verbenahitch/src/scheduler/shard/syncs.rs
+++ b/crates/verbenahitch/src/scheduler/shard/syncs.rs
@@ -3,6 +3,11 @@
 //! At most one sync per worker is in flight. A sync contains a time on the
 //! worker's own clock after which the worker refuses it, so that neither a lease
 //! nor a start takes effect later than this owner assumes.
+//!
+//! * *Probe*: a sync without renewal, sent to a worker whose clock is not known or
+//!   that did not answer the last sync.
+//! * *Authority*: the time until which this owner may renew leases.
+//! * *Permit*: the time until which it may start tasks.
 
 use super::starts::run_of;
 use super::worker::InFlight;
@@ -13,12 +18,15 @@
 use crate::port::{Command, Refusal, SyncError, SyncReply, SyncRequest};
 use crate::scheduler::Action;
 
-/// Time between two syncs with a worker while one of its runs is being evicted or blocks it.
+/// Sync interval of a worker while one of its runs is being evicted or keeps the worker closed to
+/// new tasks.
 const EVICTING_SYNC_MS: Millis = 250;
-/// A worker that does not answer is called this many times per regular sync interval.
+/// Probes of an unresponsive worker per regular sync interval.
 const PROBES_PER_SYNC: Millis = 4;
-/// A worker's clock may lag by the elapsed time divided by this; a larger lag means a restart.
+/// A worker's clock may lag by the elapsed time divided by this; a larger lag is taken
+/// as a restart.
 const CLOCK_DRIFT_DIVISOR: Millis = 16;
+/// Additional lag allowed for the rounding of clock readings.
 const CLOCK_ROUNDING_MS: Millis = 10;
 
 impl Shard {
@@ -61,10 +69,10 @@
     fn send_sync(&mut self, key: WorkerKey, owned: Ownership, now: Monotonic) {
         let may_start = self.may_start(now);
         let worker = &self.workers[key];
-        // A worker that did not answer gets syncs without renewal, so that its leases lapse.
+        // An unresponsive worker gets probes, so that its leases lapse.
         let may_renew = now < self.authority && worker.clock.is_some() && !worker.sync_failed;
         if !may_start || !may_renew {
-            self.withdraw_unsent(key, now);
+            self.withdraw_unsent_starts(key, now);
         }
         let ttl_ms = self.sync_ttl_ms(key, may_renew, now);
         let lease_ms = if may_renew {
@@ -113,7 +121,7 @@
         self.set_due(key, now + self.params.sync_limit_ms());
     }
 
-    /// Time for which the worker may accept the next sync.
+    /// How long after sending the worker may accept the next sync.
     ///
     /// It must not accept starts after the permit has lapsed, nor renew leases after
     /// the authority has lapsed.
@@ -129,7 +137,7 @@
     }
 
     /// Withdraws the starts that wait for a sync with a worker.
-    fn withdraw_unsent(&mut self, key: WorkerKey, now: Monotonic) {
+    fn withdraw_unsent_starts(&mut self, key: WorkerKey, now: Monotonic) {
         let commands = &self.workers[key].commands;
         let starts: Vec<u64> = commands.iter().filter_map(start_of).collect();
         for run in starts {
@@ -153,6 +161,7 @@
             return;
         };
         let restarted = worker.clock.is_some_and(|(clock, read)| {
+            // Lower bound of the time between the two readings of the worker's clock.
             let passed = inflight.sent.min(sent).since(read);
             let slack = passed / CLOCK_DRIFT_DIVISOR + CLOCK_ROUNDING_MS;
             reply.clock + slack < clock + passed
@@ -160,7 +169,8 @@
         worker.clock = Some((reply.clock, now));
         let first = !std::mem::replace(&mut worker.answered, true);
         if first {
-            // An earlier owner may have renewed leases until the worker accepted this epoch.
+            // An earlier owner may have renewed leases until the worker accepted this epoch, so they
+            // lapse one lease term from now at the latest.
             worker.lapses_at = now + self.params.task_lease_ms;
         }
         let had_failed = std::mem::replace(&mut worker.sync_failed, false);
@@ -176,7 +186,7 @@
 
     fn next_sync(&self, key: WorkerKey, probed: bool, now: Monotonic) -> Monotonic {
         let worker = &self.workers[key];
-        // The answered sync did not renew the leases.
+        // A probe renews no leases, so renew them at once.
         if !worker.commands.is_empty() || (probed && !worker.runs.is_empty()) {
             return now;
         }
@@ -236,12 +246,14 @@
         let reported = reply.running.iter().any(|other| other.run == refusal.run)
             || reply.ended.iter().any(|other| other.run == refusal.run);
         if run.worker != key || run.start_seq != Some(seq) || run.seen || reported {
+            // The run's start was not refused; a refused eviction may be ordered again.
             if std::mem::take(&mut run.evicting) {
                 self.workers[key].evicting -= 1;
             }
             return;
         }
-        // The worker has less room than its listed capacity; give it no tasks for a while.
+        // The worker has less free capacity than the placer assumes; assign no tasks for one sync
+        // interval.
         let pause = self.params.sync_ms;
         let worker = &mut self.workers[key];
         worker.opens_at = worker.opens_at.max(now + pause);
@@ -274,22 +286,23 @@
         self.resend(key, inflight.commands);
         let mut retry = now + self.params.sync_ms / PROBES_PER_SYNC;
         match error {
+            // Without a higher epoch the answer is inconsistent; the worker counts as unresponsive.
             SyncError::StaleEpoch { epoch } => {
                 if self.owned.is_some_and(|owned| epoch > owned.epoch) {
                     return self.on_superseded("a worker has seen a higher epoch", now);
                 }
             }
-            // The worker may have accepted an earlier copy of the call; the next answer shows it.
+            // An earlier copy of the call may have been accepted; the next report shows it.
             SyncError::Late { clock } => {
                 self.workers[key].clock = Some((clock, now));
                 retry = now;
             }
-            SyncError::Unreachable { .. } => self.withdraw_sent(key, inflight.seq, now),
+            SyncError::Unreachable { .. } => self.withdraw_starts_of(key, inflight.seq, now),
             SyncError::Unanswered { .. } => {}
         }
         let worker = &mut self.workers[key];
-        let answered = matches!(error, SyncError::Late { .. });
-        if !answered && !std::mem::replace(&mut worker.sync_failed, true) {
+        let is_reachable = matches!(error, SyncError::Late { .. });
+        if !is_reachable && !std::mem::replace(&mut worker.sync_failed, true) {
             let entry = Entry::new(Kind::WorkerUnreachable)
                 .with("worker", &worker.host.name)
                 .with_text("reason", &error);
@@ -308,7 +321,7 @@
     }
 
     /// Withdraws the starts of a sync that provably had no effect.
-    fn withdraw_sent(&mut self, key: WorkerKey, seq: u64, now: Monotonic) {
+    fn withdraw_starts_of(&mut self, key: WorkerKey, seq: u64, now: Monotonic) {
         let sent: Vec<u64> = self.workers[key]
             .runs
             .iter()
--- a/testsuite/tests/testsuite/dispatch/world/mod.rs
+++ b/testsuite/tests/testsuite/dispatch/world/mod.rs
@@ -240,11 +240,11 @@
         let at = Monotonic(now);
         for (_, event) in due {
             match event {
-                Event::Polled(key, result) => self.dispatcher.polled(key, result, at),
-                Event::Started(key, result) => self.dispatcher.started(key, result, at),
-                Event::Stopped(key, result) => self.dispatcher.stopped(key, result, at),
+                Event::Polled(key, result) => self.dispatcher.on_poll_answer(key, result, at),
+                Event::Started(key, result) => self.dispatcher.on_start_answer(key, result, at),
+                Event::Stopped(key, result) => self.dispatcher.on_stop_answer(key, result, at),
                 Event::Paced(key, percent) => {
-                    self.dispatcher.paced(key, percent, Ok(now), at);
+                    self.dispatcher.on_pace_answer(key, percent, Ok(now), at);
                 }
                 Event::CommitStored => {
                     for write in std::mem::take(&mut self.writing) {
--- a/testsuite/tests/testsuite/interference/attribution.rs
+++ b/testsuite/tests/testsuite/interference/attribution.rs
@@ -15,7 +15,8 @@
     );
 }
 
-/// Starts each combination of zero to two tasks of both profiles on some worker.
+/// Gives every worker one of the nine combinations of zero to two `noisy` and zero to two `quiet`
+/// tasks.
 fn add_mixes(simulation: &mut Simulation, profile: &Profile) {
     for at in 0..simulation.workers.len() {
         for _ in 0..at % 3 {
@@ -28,28 +29,41 @@
 }
 
 struct Case {
-    noisy: f64,
-    quiet: f64,
-    declared: f64,
+    noisy_slope: f64,
+    quiet_slope: f64,
+    declared_pressure: f64,
 }
 
-#[test_case(Case { noisy: 0.3, quiet: 0.0, declared: 0.2 }; "one of two")]
-#[test_case(Case { noisy: 0.3, quiet: 0.0, declared: 0.0 }; "declared harmless")]
-#[test_case(Case { noisy: 0.1, quiet: 0.1, declared: 1.0 }; "declared harmful")]
-#[test_case(Case { noisy: 0.2, quiet: 0.05, declared: 0.2 }; "unequal")]
+#[test_case(Case { noisy_slope: 0.3, quiet_slope: 0.0, declared_pressure: 0.2 }; "only one slows")]
+#[test_case(Case { noisy_slope: 0.3, quiet_slope: 0.0, declared_pressure: 0.0 }; "declared harmless")]
+#[test_case(Case { noisy_slope: 0.1, quiet_slope: 0.1, declared_pressure: 1.0 }; "declared harmful")]
+#[test_case(Case { noisy_slope: 0.2, quiet_slope: 0.05, declared_pressure: 0.2 }; "both slow unequally")]
 fn slowdown_is_attributed_to_each_source_by_its_true_effect(case: Case) {
-    let mut simulation = Simulation::new(18, &[("noisy", case.noisy), ("quiet", case.quiet)]);
-    add_mixes(&mut simulation, &batch_with_pressure(case.declared));
+    let mut simulation = Simulation::new(
+        18,
+        &[("noisy", case.noisy_slope), ("quiet", case.quiet_slope)],
+    );
+    add_mixes(
+        &mut simulation,
+        &batch_with_pressure(case.declared_pressure),
+    );
     for _ in 0..120 {
         simulation.report();
     }
+    // Updates the estimates.
     simulation.placer.mitigate(simulation.now());
-    assert_close(simulation.estimated("noisy").slowdown, 1.0 + case.noisy);
-    assert_close(simulation.estimated("quiet").slowdown, 1.0 + case.quiet);
+    assert_close(
+        simulation.estimated("noisy").slowdown,
+        1.0 + case.noisy_slope,
+    );
+    assert_close(
+        simulation.estimated("quiet").slowdown,
+        1.0 + case.quiet_slope,
+    );
 }
 
 #[test]
-fn the_declared_pressure_is_the_estimate_until_measurements_differ() {
+fn the_declared_pressure_is_the_estimate_while_measurements_agree() {
     let mut simulation = Simulation::new(4, &[("noisy", 0.3)]);
     for at in 0..4 {
         simulation.put(at, "noisy", &batch_with_pressure(0.3));
