--- a/crates/verbenahitch/src/dispatch/polls.rs
+++ b/crates/verbenahitch/src/dispatch/polls.rs
@@ -53,10 +53,10 @@
                     .is_none_or(|job| job.stored_version >= end.version)
             };
             if let Some(last) = worker.unacked_ends.iter().take_while(is_stored).last() {
-                worker.acked = worker.acked.max(last.number);
+                worker.acked = worker.acked.max(last.sequence);
             }
             let acked = worker.acked;
-            worker.unacked_ends.retain(|end| end.number > acked);
+            worker.unacked_ends.retain(|end| end.sequence > acked);
             if !worker.unacked_ends.is_empty() && now < worker.next_poll + COMMIT_WAIT_MS {
                 continue;
             }
@@ -153,17 +153,17 @@
     fn apply_ends(&mut self, key: WorkerKey, report: &Report, now: Monotonic) {
         for end in &report.ended {
             let worker = &mut self.workers[key];
-            if end.number <= worker.last_end {
+            if end.sequence <= worker.last_end {
                 continue;
             }
-            worker.last_end = end.number;
+            worker.last_end = end.sequence;
             let run = self.find_run(key, end.task, end.run);
             if let Some(run) = run {
                 self.end_run(run, end.cause, &end.checkpoint, now);
             }
             let version = self.jobs.get(&end.task.job).map_or(0, |job| job.version);
             self.workers[key].unacked_ends.push(UnackedEnd {
-                number: end.number,
+                sequence: end.sequence,
                 job: end.task.job,
                 version,
             });
--- a/crates/verbenahitch/src/dispatch/report.rs
+++ b/crates/verbenahitch/src/dispatch/report.rs
@@ -15,15 +15,15 @@
 pub enum EndCause {
     /// It completed its work.
     Done,
-    /// It failed, because of itself or of the worker.
+    /// It failed, whether the task or the worker was at fault.
     Failed,
-    /// It was stopped by an order.
+    /// It was stopped by an order, or the worker no longer lists it.
     Stopped,
-    /// Its lease lapsed.
+    /// Its lease lapsed, or the worker restarted.
     Lapsed,
-    /// Another member of its gang ended.
+    /// The worker ended it because another member of its gang ended.
     Broken,
-    /// The other members of its gang did not start.
+    /// The worker ended it because the rest of its gang did not start in time.
     Alone,
 }
 
@@ -36,9 +36,11 @@
     pub run: u32,
     /// Newest checkpoint, empty for none.
     pub checkpoint: String,
-    /// Progress in percent; 100 for a standing task that serves.
+    /// Progress in percent; 100 for a standing task (one that runs until its job is
+    /// cancelled) that is ready to serve.
     pub progress_percent: u8,
-    /// Tail latency of a standing task in milliseconds; CPU in use for other tasks.
+    /// Tail latency of a standing task in milliseconds; CPU in use for other tasks. Used
+    /// only for tasks with a latency target.
     pub measurement: Millis,
 }
 
@@ -46,7 +48,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndedEntry {
     /// Sequence number of the end in the worker's incarnation.
-    pub number: u64,
+    pub sequence: u64,
     /// Task.
     pub task: TaskId,
     /// Number of the run.
@@ -60,7 +62,8 @@
 /// Answer of a worker to a poll.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Start of the worker's incarnation, zero if it is not reported.
+    /// Start of the worker's incarnation in milliseconds since the Unix epoch, zero if it
+    /// is not reported.
     pub incarnation: u64,
     /// The worker's clock in milliseconds.
     pub clock_ms: Millis,
@@ -75,7 +78,8 @@
 pub enum CallFailure {
     /// The worker has seen a higher fencing token.
     Fenced,
-    /// The worker has stopped or ended a run of the task with this number or a higher one.
+    /// The run's number is not above that of a run of the task that has already ended or
+    /// been stopped on the worker.
     Outdated,
     /// The lease in the order had lapsed on arrival.
     Late,
@@ -83,7 +87,8 @@
     NoRoom,
     /// The worker has restarted: its incarnation is not the one addressed.
     OtherLife,
-    /// The worker answered that it cannot carry out the order now, and did nothing.
+    /// The worker answered that it cannot carry out the order for the time being, and did
+    /// nothing.
     Unwilling(String),
     /// The worker answered that the order is invalid.
     Rejected(String),
@@ -93,7 +98,7 @@
     Unanswered(String),
 }
 
-/// Call to a worker that the dispatcher orders.
+/// Request from the dispatcher to a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
     /// Extend the leases of a worker and read its lists.
@@ -102,7 +107,7 @@
     Start(Start),
     /// Stop a run.
     Stop(Target),
-    /// Set the pace of a run: the percentage of its CPU that it may use.
+    /// Set the CPU share of a run: the percentage of its CPU that it may use.
     Pace(Target, u8),
 }
 
@@ -117,7 +122,7 @@
     pub address: String,
     /// New end of all leases on the worker's clock; none to leave them unchanged.
     pub lease_end: Option<Millis>,
-    /// Highest number of an end that is acknowledged: the store holds all ends up to it.
+    /// Highest acknowledged sequence number of an end; the store holds all ends up to it.
     pub acked: u64,
     /// How long the worker may delay its answer until a run ends, in milliseconds.
     pub wait_ms: Millis,
@@ -126,7 +131,7 @@
 /// Run that an order applies to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
-    /// Run in the dispatcher's arena.
+    /// Key of the run in the dispatcher's run table.
     pub key: RunKey,
     /// Name of the worker.
     pub name: String,
@@ -151,14 +156,14 @@
     pub checkpoint: String,
 }
 
-/// Record of an assignment in the store.
+/// Record in the store of a run that is assigned to a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunRecord(
     /// Number of the run.
     pub u32,
     /// Name of the worker.
     pub String,
-    /// Incarnation of the worker: start in milliseconds since the Unix epoch.
+    /// Start of the worker's incarnation in milliseconds since the Unix epoch.
     pub u64,
 );
 
@@ -166,7 +171,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct TaskRecord {
-    /// Round, step and index.
+    /// Position of the task in its job: round, step and index; see [`TaskId`].
     pub at: (u32, u32, u32),
     /// Whether it is done.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
@@ -202,12 +207,12 @@
     pub tasks: Vec<TaskRecord>,
 }
 
-/// Record to be written, with the version of the job that it reflects.
+/// Record to be written.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Write {
     /// Job.
     pub job: JobId,
-    /// Version.
+    /// Version of the job's state that the record reflects.
     pub version: u64,
     /// Record.
     pub record: ProgressRecord,
--- a/crates/verbenahitch/src/dispatch/worker.rs
+++ b/crates/verbenahitch/src/dispatch/worker.rs
@@ -57,7 +57,7 @@
 /// End that the worker lists until it is acknowledged.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct UnackedEnd {
-    pub number: u64,
+    pub sequence: u64,
     pub job: JobId,
     /// Version of the job that reflects the end.
     pub version: u64,
@@ -86,9 +86,9 @@
     pub failed_polls: u32,
     /// Ends that were applied and are not yet acknowledged.
     pub unacked_ends: Vec<UnackedEnd>,
-    /// Highest number of an end that was applied.
+    /// Highest sequence number of an end that was applied.
     pub last_end: u64,
-    /// Highest number of an end that is acknowledged.
+    /// Highest sequence number of an end that is acknowledged.
     pub acked: u64,
     /// Failures in a row, without repeated ones of the same job.
     pub failures: u32,
--- a/crates/verbenahitch/src/entry/intake.rs
+++ b/crates/verbenahitch/src/entry/intake.rs
@@ -22,14 +22,14 @@
 use crate::event::{Entry, Kind};
 use crate::port::{KeyValue, KvError, Platform, Put, Queues, Transaction};
 
-/// `Retry-After` of callers that are refused because the store is unavailable, in
-/// milliseconds. The store recovers within seconds, and callers that return all at
-/// once would be refused again.
-pub const STORE_RETRY_MS: Millis = 1_000;
+/// `Retry-After` of callers that are refused for the time being, such as when the store
+/// is unavailable, in milliseconds. The store recovers within seconds, and callers that
+/// return all at once would be refused again.
+pub const RETRY_AFTER_MS: Millis = 1_000;
 
 /// Outcome of a submission or a cancel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Accepted {
+pub enum IntakeOutcome {
     /// Stored.
     Stored,
     /// Not stored, and it will not be stored later.
@@ -54,8 +54,8 @@
 /// One call, with the channel for its answer.
 #[derive(Debug)]
 pub(super) enum Call {
-    Submit(JobId, Box<JobRecord>, oneshot::Sender<Accepted>),
-    Cancel(JobId, oneshot::Sender<Accepted>),
+    Submit(JobId, Box<JobRecord>, oneshot::Sender<IntakeOutcome>),
+    Cancel(JobId, oneshot::Sender<IntakeOutcome>),
     State(JobId, oneshot::Sender<Status>),
     Waiting(String, oneshot::Sender<Option<usize>>),
 }
@@ -81,15 +81,15 @@
     }
 
     /// Accepts a job.
-    pub async fn submit(&self, id: JobId, record: JobRecord) -> Accepted {
+    pub async fn submit(&self, id: JobId, record: JobRecord) -> IntakeOutcome {
         let answer = self.call(|sender| Call::Submit(id, Box::new(record), sender));
-        answer.await.unwrap_or(Accepted::Unknown)
+        answer.await.unwrap_or(IntakeOutcome::Unknown)
     }
 
     /// Cancels a job.
-    pub async fn cancel(&self, id: JobId) -> Accepted {
+    pub async fn cancel(&self, id: JobId) -> IntakeOutcome {
         let answer = self.call(|sender| Call::Cancel(id, sender));
-        answer.await.unwrap_or(Accepted::Unknown)
+        answer.await.unwrap_or(IntakeOutcome::Unknown)
     }
 
     /// State of a job.
@@ -153,20 +153,20 @@
         }
     }
 
-    async fn submit(&self, id: JobId, record: JobRecord) -> Accepted {
+    async fn submit(&self, id: JobId, record: JobRecord) -> IntakeOutcome {
         let entry = JobEntry::Open(record);
         let bytes = keys::encode(&entry);
         let outcome = self.store(keys::job(id), bytes.clone()).await;
-        if outcome == Accepted::Stored {
+        if outcome == IntakeOutcome::Stored {
             self.announce(id, entry, bytes);
         }
         outcome
     }
 
     /// Creates a key. An existing key counts as stored: it is from an earlier attempt.
-    async fn store(&self, key: String, value: Vec<u8>) -> Accepted {
+    async fn store(&self, key: String, value: Vec<u8>) -> IntakeOutcome {
         if !self.shared.is_store_up() {
-            return Accepted::Refused;
+            return IntakeOutcome::Refused;
         }
         let transaction = Transaction {
             expected: vec![(key.clone(), 0)],
@@ -175,20 +175,20 @@
         };
         let kv = self.shared.platform.kv();
         match kv.commit(&transaction).await {
-            Ok(_) | Err(KvError::Conflict { .. }) => return Accepted::Stored,
+            Ok(_) | Err(KvError::Conflict { .. }) => return IntakeOutcome::Stored,
             Err(KvError::Unanswered { cause }) => {
                 log::info!("no answer to a write, which is sent again: {cause}");
             }
             Err(error) => {
                 log::info!("the store refused a write: {error}");
-                return Accepted::Refused;
+                return IntakeOutcome::Refused;
             }
         }
         match kv.commit(&transaction).await {
-            Ok(_) | Err(KvError::Conflict { .. }) => Accepted::Stored,
+            Ok(_) | Err(KvError::Conflict { .. }) => IntakeOutcome::Stored,
             Err(error) => {
                 log::warn!("a write may or may not have been applied: {error}");
-                Accepted::Unknown
+                IntakeOutcome::Unknown
             }
         }
     }
@@ -214,20 +214,20 @@
         });
     }
 
-    async fn cancel(&self, id: JobId) -> Accepted {
+    async fn cancel(&self, id: JobId) -> IntakeOutcome {
         if !self.shared.is_store_up() {
-            return Accepted::Refused;
+            return IntakeOutcome::Refused;
         }
         match self.shared.platform.kv().get(&keys::job(id)).await {
             Ok(Some(_)) => {}
-            Ok(None) => return Accepted::Missing,
+            Ok(None) => return IntakeOutcome::Missing,
             Err(error) => {
                 log::info!("cancel of {id} was refused: {error}");
-                return Accepted::Refused;
+                return IntakeOutcome::Refused;
             }
         }
         let outcome = self.store(keys::cancel(id), b"{}".to_vec()).await;
-        if outcome == Accepted::Stored && !self.shared.inbox.send(OwnerEvent::Cancelled(id)) {
+        if outcome == IntakeOutcome::Stored && !self.shared.inbox.send(OwnerEvent::Cancelled(id)) {
             let Some(address) = self.owner_address() else {
                 return outcome;
             };
--- a/crates/verbenahitch/src/entry/mod.rs
+++ b/crates/verbenahitch/src/entry/mod.rs
@@ -20,4 +20,4 @@
 mod watcher;
 
 pub use host::{EntryHost, EntrySettings};
-pub use intake::{Accepted, Intake, Status};
+pub use intake::{Intake, IntakeOutcome, Status};
--- a/crates/verbenahitch/src/interference/mitigation.rs
+++ b/crates/verbenahitch/src/interference/mitigation.rs
@@ -92,7 +92,7 @@
     }
 
     /// Updates the statistics with the difference between a measured and a predicted ratio.
-    pub(crate) fn report(&mut self, residual: f64, now: Monotonic) {
+    pub(crate) fn record_residual(&mut self, residual: f64, now: Monotonic) {
         let change = residual - self.residual;
         self.residual += SMOOTHING * change;
         self.variance += SMOOTHING * (change * change - self.variance);
--- a/crates/verbenahitch/src/placement/choose.rs
+++ b/crates/verbenahitch/src/placement/choose.rs
@@ -171,7 +171,8 @@
         let mut found = 0;
         for worker in workers {
             let host = &self.hosts[worker];
-            let Some(next) = eviction::cheapest(host, &request.profile, need, &self.budgets, now)
+            let Some(next) =
+                eviction::cheapest(host, &request.profile, need, &self.eviction_budgets, now)
             else {
                 continue;
             };
@@ -344,7 +345,7 @@
 /// and again.
 fn is_overdue(placer: &Placer, request: &PlacementRequest, now: Monotonic) -> bool {
     let is_late = request.waited_ms >= request.profile.deadline_ms.saturating_mul(2);
-    is_late && placer.budgets.recent(request.task, now) == 0
+    is_late && placer.eviction_budgets.recent(request.task, now) == 0
 }
 
 /// Describes the first resource that is short.
--- a/crates/verbenahitch/src/placement/mod.rs
+++ b/crates/verbenahitch/src/placement/mod.rs
@@ -20,4 +20,4 @@
 
 pub use choice::{Choice, Overcommit, PlacementRequest, Reason, Resident, WorkerState};
 pub use placer::Placer;
-pub use rank::{OfferResult, Queue};
+pub use rank::{OfferResult, WaitingTasks};
--- a/crates/verbenahitch/src/placement/observe.rs
+++ b/crates/verbenahitch/src/placement/observe.rs
@@ -13,7 +13,8 @@
 use super::score;
 
 impl Placer {
-    /// Updates the estimates with a worker's usage report, which lags by its `age_ms`.
+    /// Updates the estimates with a worker's usage report, which was measured
+    /// `usage.age_ms` before `now`.
     pub fn observe(&mut self, worker: WorkerKey, usage: &Usage, now: Monotonic) {
         if !self.hosts.contains_key(worker) {
             return;
@@ -25,8 +26,8 @@
         }
     }
 
-    /// Updates usage statistics; returns the activity of each batch profile at the time
-    /// of the measurement.
+    /// Updates usage statistics; returns the activity (CPU use relative to typical tasks) of
+    /// each batch profile at the time of the measurement.
     fn learn_usage(
         &mut self,
         worker: WorkerKey,
@@ -45,8 +46,8 @@
             if self.profiles.profile(id).class != Class::Batch {
                 continue;
             }
-            let usages = &mut self.usages[id.index()];
-            let relative = usages.relative(*task);
+            let stats = &mut self.usage_stats[id.index()];
+            let relative = stats.relative(*task);
             add_activity(&mut activity, id, relative);
             let run = host
                 .residents
@@ -55,7 +56,7 @@
             if let Some(entry) = run {
                 entry.activity = relative;
                 if entry.share >= 1.0 && entry.settled_at <= measured {
-                    usages.learn(*task, entry.resident.resources, measured);
+                    stats.learn(*task, entry.resident.resources, measured);
                 }
             }
         }
@@ -88,16 +89,16 @@
         if let Some(ratio) = self.estimator.ratio(id, latency_us, count) {
             let predicted = 1.0 + self.estimator.added(&self.profiles, id, activity);
             let victim = placer::victim_entry(&mut self.hosts[worker], id);
-            victim.report(ratio - predicted, now);
+            victim.record_residual(ratio - predicted, now);
         }
     }
 
-    /// Actions to take against interference: throttle, restore or evict.
+    /// Actions to take against interference: change CPU shares or evict.
     ///
     /// The placer's state assumes that the caller carries them out.
     pub fn mitigate(&mut self, now: Monotonic) -> Vec<Mitigation> {
         self.estimator.refresh(&self.profiles, now);
-        self.budgets.prune(now);
+        self.eviction_budgets.prune(now);
         self.expire_reservations(now);
         let workers: Vec<WorkerKey> = self.hosts.keys().collect();
         let mut mitigations = Vec::new();
@@ -106,7 +107,7 @@
             mitigations.extend(
                 actions
                     .into_iter()
-                    .map(|action| self.apply(worker, action, now)),
+                    .map(|action| self.record_action(worker, action, now)),
             );
         }
         mitigations
@@ -135,10 +136,10 @@
         let predicted = self
             .estimator
             .added(&self.profiles, victim.profile, sources);
-        let limit = self.profiles.profile(victim.profile).max_slowdown;
+        let max_slowdown = self.profiles.profile(victim.profile).max_slowdown;
         Slowdown {
             added: predicted + victim.unexplained(now),
-            tolerated: score::tolerance(limit),
+            tolerated: score::tolerance(max_slowdown),
         }
     }
 
@@ -164,13 +165,15 @@
                     share: entry.share,
                     min_share: resident.profile.min_share,
                     cost: eviction::cost(resident, now),
-                    evictable: self.budgets.allows(resident.task, &resident.profile, now),
+                    evictable: self
+                        .eviction_budgets
+                        .allows(resident.task, &resident.profile, now),
                 }
             })
             .collect()
     }
 
-    fn apply(&mut self, worker: WorkerKey, action: Action, now: Monotonic) -> Mitigation {
+    fn record_action(&mut self, worker: WorkerKey, action: Action, now: Monotonic) -> Mitigation {
         let host = &mut self.hosts[worker];
         match action {
             Action::SetShare { at, share } => {
@@ -191,7 +194,7 @@
                 let task = entry.resident.task;
                 entry.stopping_until =
                     now + entry.resident.profile.eviction.grace_ms + placer::RESERVATION_MARGIN_MS;
-                self.budgets.record(task, now);
+                self.eviction_budgets.record(task, now);
                 Mitigation::Evict { worker, task }
             }
         }
--- a/crates/verbenahitch/src/placement/placer.rs
+++ b/crates/verbenahitch/src/placement/placer.rs
@@ -45,9 +45,9 @@
     pub(super) sizes: HashMap<Resources, u32>,
     pub(super) reservations: HashMap<TaskKey, Reservation>,
     pub(super) quotas: Quotas,
-    pub(super) budgets: Budgets,
+    pub(super) eviction_budgets: Budgets,
     pub(super) racks: Racks,
-    pub(super) usages: Vec<UsageStats>,
+    pub(super) usage_stats: Vec<UsageStats>,
     /// Number of running tasks by profile index.
     pub(super) running: Vec<u32>,
     pub(super) profiles: ProfileTable,
@@ -76,7 +76,7 @@
 
     /// Adds a worker without tasks.
     pub fn add_worker(&mut self, capacity: Resources, rack: &str, state: WorkerState) -> WorkerKey {
-        let rack = self.racks.number(rack);
+        let rack = self.racks.index(rack);
         let worker = self.hosts.insert(Host::new(capacity, rack, state));
         *self.sizes.entry(capacity).or_default() += 1;
         self.reindex(worker);
@@ -170,8 +170,9 @@
 
     fn add_resident(&mut self, worker: WorkerKey, resident: Resident) {
         let id = self.profiles.add(&resident.name, &resident.profile);
-        if self.usages.len() <= id.index() {
-            self.usages.resize(id.index() + 1, UsageStats::default());
+        if self.usage_stats.len() <= id.index() {
+            self.usage_stats
+                .resize(id.index() + 1, UsageStats::default());
             self.running.resize(id.index() + 1, 0);
         }
         self.running[id.index()] += 1;
@@ -243,7 +244,7 @@
             if evicted.contains(&entry.resident.task) {
                 let own_grace = entry.resident.profile.eviction.grace_ms;
                 entry.stopping_until = now + own_grace + RESERVATION_MARGIN_MS;
-                self.budgets.record(entry.resident.task, now);
+                self.eviction_budgets.record(entry.resident.task, now);
                 longest_grace = longest_grace.max(own_grace);
             }
         }
@@ -269,11 +270,11 @@
     /// are always as declared. Commit the result only where the worker enforces it
     /// as a limit on the run.
     pub fn predicted_size(&self, name: &str, profile: &Profile) -> Resources {
-        let usages = self
+        let stats = self
             .profiles
             .id(name)
-            .and_then(|id| self.usages.get(id.index()));
-        usages.map_or(profile.resources, |usages| usages.predict(profile))
+            .and_then(|id| self.usage_stats.get(id.index()));
+        stats.map_or(profile.resources, |stats| stats.predict(profile))
     }
 
     /// Largest fraction of any resource of its quota that a team has committed in this shard.
--- a/crates/verbenahitch/src/placement/rank.rs
+++ b/crates/verbenahitch/src/placement/rank.rs
@@ -1,8 +1,8 @@
 //! Order in which waiting tasks are offered to the placer.
 //!
-//! Urgent tasks go first. The others are ordered by worth: each eighth of its
-//! deadline that a task has waited doubles it, and each half of its quota that the
-//! team has committed halves it. So no task starves, however many tasks of higher
+//! Urgent tasks go first. The others are ordered by worth: a task's worth doubles with
+//! every eighth of its deadline that it has waited, and halves with every half of its
+//! team's quota that is committed. So no task starves, however many tasks of higher
 //! worth keep arriving.
 
 use std::collections::VecDeque;
@@ -13,13 +13,14 @@
 
 use super::{PlacementRequest, Placer};
 
-/// Doublings of a task's worth for each deadline that it has waited.
+/// Doublings of a task's worth after waiting for its whole deadline.
 const WAIT_DOUBLINGS: f64 = 8.0;
 /// Halvings of a task's worth if its team has committed its whole quota.
 const QUOTA_HALVINGS: f64 = 2.0;
 
 impl Placer {
-    /// Rank of a waiting task, as a binary logarithm; the highest goes first.
+    /// Rank of a waiting task: log2 of its adjusted worth, plus a constant for an urgent task.
+    /// The highest goes first.
     pub fn rank(&self, profile: &Profile, waited_ms: Millis) -> f64 {
         let urgent = if profile.urgent { 1_000.0 } else { 0.0 };
         let worth = f64::from(profile.worth.max(1)).log2();
@@ -45,8 +46,8 @@
 /// Tasks of one profile are served in the order of arrival, so only the first
 /// task of each profile is ranked.
 #[derive(Debug, Default)]
-pub struct Queue {
-    queues: Vec<ProfileQueue>,
+pub struct WaitingTasks {
+    by_profile: Vec<ProfileQueue>,
     by_name: HashMap<Arc<str>, usize>,
     waiting: HashMap<TaskKey, Monotonic>,
 }
@@ -56,7 +57,7 @@
     requests: VecDeque<(Monotonic, PlacementRequest)>,
 }
 
-impl Queue {
+impl WaitingTasks {
     /// Creates an empty queue.
     pub fn new() -> Self {
         Self::default()
@@ -78,12 +79,12 @@
             return;
         }
         self.waiting.insert(request.task, since);
-        let queues = &mut self.queues;
+        let queues = &mut self.by_profile;
         let at = *self.by_name.entry(request.name.clone()).or_insert_with(|| {
             queues.push(ProfileQueue::default());
             queues.len() - 1
         });
-        let requests = &mut self.queues[at].requests;
+        let requests = &mut self.by_profile[at].requests;
         let position = requests.partition_point(|(earlier, _)| *earlier <= since);
         requests.insert(position, (since, request));
     }
@@ -100,21 +101,22 @@
         now: Monotonic,
         mut offer: impl FnMut(&mut Placer, PlacementRequest) -> OfferResult,
     ) {
-        let mut cursors = vec![Some(0); self.queues.len()];
-        while let Some((at, cursor, request)) = self.highest(&mut cursors, placer, now) {
+        let mut cursors = vec![Some(0); self.by_profile.len()];
+        while let Some((at, position, request)) = self.highest(&mut cursors, placer, now) {
             let task = request.task;
             match offer(placer, request) {
                 OfferResult::Placed => {
-                    self.queues[at].requests.remove(cursor);
+                    self.by_profile[at].requests.remove(position);
                     self.waiting.remove(&task);
                 }
-                OfferResult::Reserved => cursors[at] = Some(cursor + 1),
+                OfferResult::Reserved => cursors[at] = Some(position + 1),
                 OfferResult::Declined => cursors[at] = None,
             }
         }
     }
 
-    /// Task of the highest rank among those at the cursors, with its queue and position.
+    /// Task of the highest rank among those at the cursors, with the index of its queue and
+    /// its position there. A queue whose cursor is `None` offers no further task.
     fn highest(
         &mut self,
         cursors: &mut [Option<usize>],
@@ -122,41 +124,42 @@
         now: Monotonic,
     ) -> Option<(usize, usize, PlacementRequest)> {
         let mut best: Option<(f64, usize, usize)> = None;
-        for (at, position) in cursors.iter_mut().enumerate() {
-            let Some(cursor) = *position else {
+        for (at, cursor) in cursors.iter_mut().enumerate() {
+            let Some(position) = *cursor else {
                 continue;
             };
-            let Some((since, request)) = self.queues[at].skip_withdrawn(cursor, &self.waiting)
+            let Some((since, request)) =
+                self.by_profile[at].drop_withdrawn(position, &self.waiting)
             else {
-                *position = None;
+                *cursor = None;
                 continue;
             };
             let rank = placer.rank(&request.profile, now.since(*since));
             if best.is_none_or(|(top, _, _)| rank > top) {
-                best = Some((rank, at, cursor));
+                best = Some((rank, at, position));
             }
         }
-        let (_, at, cursor) = best?;
-        let (since, request) = &self.queues[at].requests[cursor];
+        let (_, at, position) = best?;
+        let (since, request) = &self.by_profile[at].requests[position];
         let mut request = request.clone();
         request.waited_ms = now.since(*since);
-        Some((at, cursor, request))
+        Some((at, position, request))
     }
 }
 
 impl ProfileQueue {
-    /// Removes withdrawn tasks at `cursor`; returns the next waiting task, if any.
-    fn skip_withdrawn(
+    /// Removes withdrawn tasks at `position`; returns the next waiting task, if any.
+    fn drop_withdrawn(
         &mut self,
-        cursor: usize,
+        position: usize,
         waiting: &HashMap<TaskKey, Monotonic>,
     ) -> Option<&(Monotonic, PlacementRequest)> {
-        while let Some((since, request)) = self.requests.get(cursor) {
+        while let Some((since, request)) = self.requests.get(position) {
             if waiting.get(&request.task) == Some(since) {
                 break;
             }
-            self.requests.remove(cursor);
+            self.requests.remove(position);
         }
-        self.requests.get(cursor)
+        self.requests.get(position)
     }
 }
--- a/crates/verbenahitch/src/placement/score.rs
+++ b/crates/verbenahitch/src/placement/score.rs
@@ -1,4 +1,4 @@
-//! Scores a worker for a task by predicted interference, spread over racks, and fit.
+//! Scores a worker for a task by predicted interference, rack spread and CPU fit.
 
 use crate::collections::HashMap;
 use crate::domain::{Class, JobKey, Monotonic, Profile, Resources};
@@ -11,12 +11,14 @@
 const RACK_WEIGHT: f64 = 1.0;
 const FIT_WEIGHT: f64 = 0.5;
 const MIN_TOLERANCE: f64 = 0.02;
-/// CPU share at which the slowdown added by a batch task must be tolerable, unless its
-/// profile's minimum share is higher.
+/// CPU share down to which a new batch task is assumed throttled, unless its minimum share
+/// is higher.
 const ASSUMED_SHARE: f64 = 0.5;
-/// Number of running tasks of a profile below which more are placed to measure its pressure.
+/// Number of running tasks of a profile below which another one may be placed as a trial,
+/// to measure its interference.
 const TRIAL_TASKS: u32 = 4;
-/// Number of measurements from which the pressure of a pair counts as measured.
+/// Effective number of measurements (after decay) from which the interference of a pair of
+/// victim and source counts as measured.
 const TRIAL_MEASUREMENTS: f64 = 30.0;
 
 /// Inputs of a score.
@@ -27,7 +29,7 @@
     pub(super) racks: &'a Racks,
     /// Number of running tasks by profile index.
     pub(super) running: &'a [u32],
-    /// Whether the task has waited so long that its own pressure is ignored.
+    /// Whether the task has waited so long that the slowdown that it would add is ignored.
     pub(super) overdue: bool,
     pub(super) now: Monotonic,
 }
@@ -35,16 +37,16 @@
 /// Score of one worker; the lowest total wins.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Score {
-    /// Largest predicted slowdown as a fraction of what its victim tolerates.
+    /// Largest predicted slowdown as a fraction of the victim's tolerance.
     pub(super) pressure: f64,
-    /// The same once all tasks that may be throttled for this one are throttled.
+    /// Pressure if the tasks that may be throttled were throttled; see `pressure_by`.
     pub(super) throttled_pressure: f64,
     /// Weighted sum of pressure, rack spread and fit.
     pub(super) total: f64,
 }
 
 impl Scorer<'_> {
-    /// Scores a worker for `request`, which needs `need` of it.
+    /// Scores a worker for `request`, which would commit `need`.
     pub(super) fn score(
         &self,
         host: &Host,
@@ -69,9 +71,9 @@
         }
     }
 
-    /// Largest slowdown on `host` with one more batch task, as a fraction of what the
-    /// victim tolerates: without throttling, and once the task and those of lower worth
-    /// are throttled.
+    /// Largest slowdown on `host` with one more batch task, as a fraction of the victim's
+    /// tolerance: at the current shares, and with the task and the throttleable sources
+    /// throttled.
     ///
     /// The second value leaves out the task itself if it is overdue or a trial.
     fn pressure_by(
@@ -85,31 +87,35 @@
             if victim.task_count == 0 && !victim.is_fresh(self.now) {
                 continue;
             }
-            let limit = tolerance(self.profiles.profile(victim.profile).max_slowdown);
-            let own = self.own_pressure(victim.profile, request, id);
-            let counted = if self.overdue || self.is_trial(victim.profile, id) {
+            let tolerance = tolerance(self.profiles.profile(victim.profile).max_slowdown);
+            let added_own = self.added_by_task(victim.profile, request, id);
+            let added_counted = if self.overdue || self.is_trial(victim.profile, id) {
                 0.0
             } else {
-                own * request.profile.min_share.max(ASSUMED_SHARE)
+                added_own * request.profile.min_share.max(ASSUMED_SHARE)
             };
             let unexplained = victim.unexplained(self.now);
-            let (present, throttled) =
-                self.present_pressure(host, victim.profile, &request.profile);
-            worst.0 = worst.0.max((present + unexplained + own) / limit);
-            worst.1 = worst.1.max((throttled + unexplained + counted) / limit);
+            let (added_now, added_throttled) =
+                self.added_by_sources(host, victim.profile, &request.profile);
+            worst.0 = worst
+                .0
+                .max((added_now + unexplained + added_own) / tolerance);
+            worst.1 = worst
+                .1
+                .max((added_throttled + unexplained + added_counted) / tolerance);
         }
         worst
     }
 
-    /// Fraction of its baseline latency that the task itself would add to `victim`.
-    fn own_pressure(
+    /// Fraction of `victim`'s baseline latency that the task itself would add to it.
+    fn added_by_task(
         &self,
         victim: ProfileId,
         request: &PlacementRequest,
-        id: Option<ProfileId>,
+        source: Option<ProfileId>,
     ) -> f64 {
-        id.map_or(request.profile.pressure, |id| {
-            self.estimator.slope(self.profiles, victim, id)
+        source.map_or(request.profile.pressure, |source| {
+            self.estimator.slope(self.profiles, victim, source)
         })
     }
 
@@ -117,24 +123,24 @@
     ///
     /// Such a task is placed regardless of its declared pressure, because a value that
     /// keeps all tasks of the profile away could never be corrected by measurement.
-    fn is_trial(&self, victim: ProfileId, id: Option<ProfileId>) -> bool {
-        let Some(id) = id else {
+    fn is_trial(&self, victim: ProfileId, source: Option<ProfileId>) -> bool {
+        let Some(source) = source else {
             return true;
         };
-        let running = self.running.get(id.index()).copied().unwrap_or(0);
-        running < TRIAL_TASKS && self.estimator.weight(victim, id) < TRIAL_MEASUREMENTS
+        let running = self.running.get(source.index()).copied().unwrap_or(0);
+        running < TRIAL_TASKS && self.estimator.weight(victim, source) < TRIAL_MEASUREMENTS
     }
 
-    /// Fraction of its baseline latency that the current sources add to `victim`:
-    /// without throttling, and with those of lower worth than `request` throttled.
-    fn present_pressure(&self, host: &Host, victim: ProfileId, request: &Profile) -> (f64, f64) {
+    /// Fraction of `victim`'s baseline latency that the current sources add to it: at the
+    /// current shares, and with those throttled that may be throttled for `request`.
+    fn added_by_sources(&self, host: &Host, victim: ProfileId, request: &Profile) -> (f64, f64) {
         let (mut all, mut throttled) = (0.0, 0.0);
         for (source, activity) in &host.sources {
             let added = activity * self.estimator.slope(self.profiles, victim, *source);
             let profile = self.profiles.profile(*source);
-            let yields = profile.worth < request.worth && !profile.urgent;
+            let throttleable = profile.worth < request.worth && !profile.urgent;
             all += added;
-            throttled += if yields {
+            throttled += if throttleable {
                 added * profile.min_share
             } else {
                 added
@@ -143,9 +149,9 @@
         (all, throttled)
     }
 
-    /// Slowdown of a latency-critical task on `host`, as a fraction of what it tolerates.
+    /// Predicted slowdown of a latency-critical task on `host`, as a fraction of its tolerance.
     fn pressure_on(&self, host: &Host, request: &PlacementRequest, id: Option<ProfileId>) -> f64 {
-        let present = match id {
+        let added = match id {
             Some(id) => self.estimator.added(self.profiles, id, &host.sources),
             None => host
                 .sources
@@ -153,16 +159,16 @@
                 .map(|(source, activity)| activity * self.profiles.profile(*source).pressure)
                 .sum(),
         };
-        present / tolerance(request.profile.max_slowdown)
+        added / tolerance(request.profile.max_slowdown)
     }
 }
 
 /// Fraction of the baseline latency that interference may add.
-pub(super) fn tolerance(limit: f64) -> f64 {
-    (limit - 1.0).max(MIN_TOLERANCE)
+pub(super) fn tolerance(max_slowdown: f64) -> f64 {
+    (max_slowdown - 1.0).max(MIN_TOLERANCE)
 }
 
-/// Fraction of the worker's CPU that would remain unused.
+/// Fraction of the worker's CPU that would remain uncommitted and unreserved.
 fn slack(host: &Host, need: Resources) -> f64 {
     let left = host.room().millicores.saturating_sub(need.millicores);
     left as f64 / host.capacity.millicores.max(1) as f64
@@ -177,14 +183,14 @@
 }
 
 impl Racks {
-    /// Number of a rack, assigned at its first use.
-    pub(super) fn number(&mut self, name: &str) -> usize {
-        if let Some(number) = self.names.get(name) {
-            return *number;
+    /// Index of a rack, assigned at its first use.
+    pub(super) fn index(&mut self, name: &str) -> usize {
+        if let Some(index) = self.names.get(name) {
+            return *index;
         }
-        let number = self.names.len();
-        self.names.insert(name.to_owned(), number);
-        number
+        let index = self.names.len();
+        self.names.insert(name.to_owned(), index);
+        index
     }
 
     /// Adds a task.
--- a/crates/verbenahitch/src/replay/cell.rs
+++ b/crates/verbenahitch/src/replay/cell.rs
@@ -5,7 +5,7 @@
 use crate::collections::HashSet;
 use crate::domain::{Monotonic, Resources, WorkerKey};
 use crate::interference::Mitigation;
-use crate::placement::{Choice, PlacementRequest, Placer, Queue, Reason};
+use crate::placement::{Choice, PlacementRequest, Placer, Reason, WaitingTasks};
 use crate::port::Usage;
 
 /// Placement policy of a replay.
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub(super) struct Cell {
     pub(super) placer: Placer,
-    pub(super) queue: Queue,
+    pub(super) queue: WaitingTasks,
     pub(super) in_service: bool,
     pub(super) chooser: Chooser,
 }
@@ -62,7 +62,7 @@
     pub(super) fn new(policy: Policy, seed: u64) -> Self {
         Self {
             placer: Placer::new(seed),
-            queue: Queue::new(),
+            queue: WaitingTasks::new(),
             in_service: true,
             chooser: Chooser {
                 policy,
--- a/crates/verbenahitch/src/replay/serving.rs
+++ b/crates/verbenahitch/src/replay/serving.rs
@@ -16,17 +16,17 @@
 use crate::placement::{Resident, WorkerState};
 use crate::port::{LatencyReport, TaskUsage, Usage};
 
-/// Latencies that are drawn per worker, kind and tick; each represents an equal
+/// Latencies that are drawn per worker, request kind and tick; each represents an equal
 /// number of requests.
 const SAMPLES_PER_TICK: u64 = 6;
 const REPORT_LAG_MS: Millis = 3_000;
 /// Standard deviation of the logarithm of the noise on reported latencies.
 const REPORT_NOISE: f64 = 0.15;
-/// Load that the number of reserved workers is sized for.
-const RESERVED_LOAD: f64 = 0.8;
+/// Utilization that the number of reserved workers is sized for.
+const RESERVED_UTILIZATION: f64 = 0.8;
 
 impl Driver<'_> {
-    /// Fraction of the workers that the peak request load needs.
+    /// Fraction of the workers that the peak request load needs at `RESERVED_UTILIZATION`.
     pub(super) fn peak_fraction(&self) -> f64 {
         let mut peaks: HashMap<&str, f64> = HashMap::default();
         let mut workers = 0;
@@ -44,7 +44,7 @@
             let peak = peaks.get(kind.profile.as_str()).copied().unwrap_or(0.0);
             peak / kind.capacity
         });
-        needed.sum::<f64>() / RESERVED_LOAD / workers.max(1) as f64
+        needed.sum::<f64>() / RESERVED_UTILIZATION / workers.max(1) as f64
     }
 
     pub(super) fn add_workers(
@@ -54,25 +54,25 @@
         per_rack: usize,
         capacity: Resources,
     ) {
-        let cell = self.zones.len();
+        let zone_index = self.zones.len();
         self.zones.push(zone.to_owned());
-        let cell_seed = self.seed ^ (cell as u64 + 1);
+        let cell_seed = self.seed ^ (zone_index as u64 + 1);
         let mut added = Cell::new(self.policy, cell_seed);
         added
             .placer
             .set_declarations(Arc::clone(&self.declared), 1.0);
         self.cells.push(added);
         let reserved = (self.reserved_fraction * count as f64).ceil() as usize;
-        for at in 0..count {
+        for index in 0..count {
             self.workers.push(Worker {
-                name: format!("{zone}-{at}"),
-                rack: format!("{zone}-rack-{}", at / per_rack),
-                cell,
+                name: format!("{zone}-{index}"),
+                rack: format!("{zone}-rack-{}", index / per_rack),
+                cell: zone_index,
                 key: WorkerKey::default(),
                 capacity,
                 up: false,
                 bad: false,
-                serves: self.policy != Policy::Reserved || at < reserved,
+                serves: self.policy != Policy::Reserved || index < reserved,
                 consecutive_failures: 0,
                 runs: Vec::new(),
                 reports: std::collections::VecDeque::new(),
@@ -81,8 +81,8 @@
         }
     }
 
-    pub(super) fn bring_up(&mut self, at: usize) {
-        let worker = &mut self.workers[at];
+    pub(super) fn bring_up(&mut self, index: usize) {
+        let worker = &mut self.workers[index];
         if worker.up {
             return;
         }
@@ -97,18 +97,18 @@
             cell.chooser.reserved.insert(worker.key);
         }
         if worker.serves {
-            self.commit_upstreams(at);
+            self.commit_upstreams(index);
         }
     }
 
-    /// Commits the resources of a worker's upstreams.
-    fn commit_upstreams(&mut self, at: usize) {
-        let worker = &self.workers[at];
+    /// Commits the resources of a worker's upstreams, one per request kind.
+    fn commit_upstreams(&mut self, worker_index: usize) {
+        let worker = &self.workers[worker_index];
         let upstream_jobs: Vec<JobKey> = self.kinds.iter().map(|(_, job)| *job).collect();
         for job in upstream_jobs {
             self.next_run += 1;
             let upstream = &self.jobs[job];
-            let index = u32::try_from(at).unwrap_or(u32::MAX);
+            let index = u32::try_from(worker_index).unwrap_or(u32::MAX);
             let resident = Resident {
                 task: TaskKey { job, index },
                 run: self.next_run,
@@ -124,14 +124,14 @@
         }
     }
 
-    pub(super) fn take_down(&mut self, at: usize) {
-        if !self.workers[at].up {
+    pub(super) fn take_down(&mut self, index: usize) {
+        if !self.workers[index].up {
             return;
         }
-        for run in self.workers[at].runs.clone() {
+        for run in self.workers[index].runs.clone() {
             self.lose_run(run);
         }
-        let worker = &mut self.workers[at];
+        let worker = &mut self.workers[index];
         worker.up = false;
         worker.reports.clear();
         let cell = &mut self.cells[worker.cell];
@@ -142,68 +142,74 @@
     /// Answers the requests of one tick and queues the usage reports.
     pub(super) fn serve(&mut self) {
         let serving: Vec<usize> = (0..self.workers.len())
-            .filter(|at| self.is_serving(*at))
+            .filter(|index| self.is_serving(*index))
             .collect();
-        let load = self.load(serving.len());
-        // The draws depend only on the seed and the time, so that policies are
-        // compared on the same requests.
+        let utilization = self.utilization(serving.len());
+        // The latencies are drawn from a generator that is seeded only by the replay's seed
+        // and the time, so that policies are compared on the same requests.
         let stream = self.seed.wrapping_mul(1_000_003) ^ self.now.0;
         let mut rng = ChaCha8Rng::seed_from_u64(stream);
-        for at in 0..self.workers.len() {
-            if !self.workers[at].up {
+        for index in 0..self.workers.len() {
+            if !self.workers[index].up {
                 continue;
             }
             let mut latency = Vec::new();
-            if serving.contains(&at) {
+            if serving.contains(&index) {
                 for (kind, _) in self.kinds.clone() {
-                    latency.push(self.answer(at, &kind, load, serving.len(), &mut rng));
+                    latency.push(self.answer_requests(
+                        index,
+                        &kind,
+                        utilization,
+                        serving.len(),
+                        &mut rng,
+                    ));
                 }
             }
-            let usage = self.usage(at, latency);
+            let usage = self.usage(index, latency);
             let now = self.now;
-            self.workers[at].reports.push_back((now, usage));
+            self.workers[index].reports.push_back((now, usage));
         }
     }
 
-    fn is_serving(&self, at: usize) -> bool {
-        let worker = &self.workers[at];
+    fn is_serving(&self, index: usize) -> bool {
+        let worker = &self.workers[index];
         worker.up && worker.serves && self.cells[worker.cell].in_service
     }
 
     /// Fraction of its request capacity that each serving worker uses.
-    fn load(&self, serving: usize) -> f64 {
-        let loads = self
+    fn utilization(&self, serving: usize) -> f64 {
+        let utilizations = self
             .kinds
             .iter()
             .map(|(kind, _)| self.rate(kind) / kind.capacity / serving.max(1) as f64);
-        loads.sum()
+        utilizations.sum()
     }
 
     fn rate(&self, kind: &Kind) -> f64 {
         self.rates.get(&kind.profile).copied().unwrap_or(0.0)
     }
 
-    fn answer(
+    fn answer_requests(
         &mut self,
-        at: usize,
+        index: usize,
         kind: &Kind,
-        load: f64,
+        utilization: f64,
         serving: usize,
         rng: &mut ChaCha8Rng,
     ) -> LatencyReport {
-        let ratio = self.model.ratio(kind, load, &self.colocated(at));
+        let ratio = self.model.ratio(kind, utilization, &self.colocated(index));
         let per_tick = self.rate(kind) / serving.max(1) as f64 * TICK_MS as f64 / 1_000.0;
-        let weight = ((per_tick / SAMPLES_PER_TICK as f64).round() as u64).max(1);
+        let requests_per_sample = ((per_tick / SAMPLES_PER_TICK as f64).round() as u64).max(1);
         let profile = &self.declared.profiles[&kind.profile];
         let target_us = profile.target_ms as f64 * 1_000.0;
-        let answers = self
+        let tally = self
             .tally
             .kinds
             .entry(kind.profile.clone())
             .or_insert_with(|| Answers::new(profile.worth));
         for _ in 0..SAMPLES_PER_TICK {
             let latency_us = Model::latency_us(kind, ratio, rng);
-            answers.record(latency_us, target_us, weight);
+            tally.record(latency_us, target_us, requests_per_sample);
         }
         let (p50, p99) = Model::percentiles(kind, ratio);
         let noise = (REPORT_NOISE * normal(&mut self.rng)).exp();
@@ -216,9 +222,9 @@
     }
 
     /// Batch tasks on a worker, by profile.
-    fn colocated(&self, at: usize) -> Vec<Colocated<'_>> {
+    fn colocated(&self, index: usize) -> Vec<Colocated<'_>> {
         let mut groups: Vec<Colocated<'_>> = Vec::new();
-        for id in &self.workers[at].runs {
+        for id in &self.workers[index].runs {
             let run = &self.runs[id];
             match groups
                 .iter_mut()
@@ -234,8 +240,8 @@
         groups
     }
 
-    fn usage(&self, at: usize, latency: Vec<LatencyReport>) -> Usage {
-        let tasks = self.workers[at].runs.iter().map(|id| {
+    fn usage(&self, index: usize, latency: Vec<LatencyReport>) -> Usage {
+        let tasks = self.workers[index].runs.iter().map(|id| {
             let run = &self.runs[id];
             let (millicores, memory_mib) = self.model.usage(
                 &run.profile_name,
@@ -259,12 +265,16 @@
     /// Delivers the reports whose lag has passed.
     pub(super) fn deliver_reports(&mut self) {
         for worker in &mut self.workers {
-            let arrived = |at: Monotonic| self.now.since(at) >= REPORT_LAG_MS;
-            while worker.reports.front().is_some_and(|(at, _)| arrived(*at)) {
-                let Some((at, mut usage)) = worker.reports.pop_front() else {
+            let arrived = |reported_at: Monotonic| self.now.since(reported_at) >= REPORT_LAG_MS;
+            while worker
+                .reports
+                .front()
+                .is_some_and(|(reported_at, _)| arrived(*reported_at))
+            {
+                let Some((reported_at, mut usage)) = worker.reports.pop_front() else {
                     break;
                 };
-                usage.age_ms = self.now.since(at);
+                usage.age_ms = self.now.since(reported_at);
                 self.cells[worker.cell].observe(worker.key, &usage, self.now);
             }
         }
@@ -272,16 +282,16 @@
 
     /// Counts workers whose runs and upstreams commit more than the capacity.
     pub(super) fn check_commitments(&mut self) {
-        for at in 0..self.workers.len() {
-            let committed = self.committed(at);
-            if self.workers[at].up && !committed.fits(self.workers[at].capacity) {
+        for index in 0..self.workers.len() {
+            let committed = self.committed(index);
+            if self.workers[index].up && !committed.fits(self.workers[index].capacity) {
                 self.tally.overcommits += 1;
             }
         }
     }
 
-    fn committed(&self, at: usize) -> Resources {
-        let worker = &self.workers[at];
+    fn committed(&self, index: usize) -> Resources {
+        let worker = &self.workers[index];
         let runs = worker.runs.iter().map(|id| self.runs[id].committed);
         let kinds = self.kinds.iter().filter(|_| worker.serves);
         let upstreams = kinds.map(|(_, job)| self.jobs[*job].profile.resources);
--- a/crates/verbenahitch/src/scheduler/daemon/owner/vacancy.rs
+++ b/crates/verbenahitch/src/scheduler/daemon/owner/vacancy.rs
@@ -21,28 +21,28 @@
             let result = poll.await.unwrap_or_default();
             self.apply_poll(result, session);
         }
-        let inboxes: Vec<ShardId> = if self.rounds >= self.next_inbox_round {
+        let due_inboxes: Vec<ShardId> = if self.rounds >= self.next_inbox_round {
             self.next_inbox_round = self.rounds + INBOX_ROUNDS;
             self.owned.keys().cloned().collect()
         } else {
             Vec::new()
         };
         let to_acquire = self.shards_to_acquire(now);
-        if inboxes.is_empty() && to_acquire.is_empty() {
+        if due_inboxes.is_empty() && to_acquire.is_empty() {
             return;
         }
         let poll = StorePoll {
             store: self.store.clone(),
             session: session.clone(),
             name: self.name.clone(),
-            inboxes,
+            due_inboxes,
             to_acquire,
         };
         self.poll = Some(tokio::spawn(poll.run()));
     }
 
     pub(super) fn apply_poll(&mut self, result: PollResult, session: &Session) {
-        for (shard, records) in result.inboxes {
+        for (shard, records) in result.handed_over {
             let Some(owned) = self.owned.get_mut(&shard) else {
                 continue;
             };
--- a/crates/verbenahitch/src/scheduler/daemon/store_poll.rs
+++ b/crates/verbenahitch/src/scheduler/daemon/store_poll.rs
@@ -1,26 +1,27 @@
-//! One poll of the store: reads inboxes and tries to acquire vacant shards.
+//! One round of store calls: reads inboxes and tries to acquire vacant shards.
 
 use super::acquire::{self, Acquired};
 use super::session::Session;
 use crate::adapter::Store;
 use crate::domain::{JobRecord, ShardId};
 
-/// Calls to make in one poll.
+/// One round of store calls.
 pub(super) struct StorePoll {
     pub(super) store: Store,
     pub(super) session: Session,
+    /// Name of this process, written as the owner.
     pub(super) name: String,
-    /// Owned shards whose inbox is due.
-    pub(super) inboxes: Vec<ShardId>,
+    /// Owned shards whose inbox is due to be read.
+    pub(super) due_inboxes: Vec<ShardId>,
     /// Shards without an owner, to be acquired.
     pub(super) to_acquire: Vec<ShardId>,
 }
 
-/// Result of a poll.
+/// Result of one round.
 #[derive(Debug, Default)]
 pub(super) struct PollResult {
-    /// Jobs that were handed over, by inbox.
-    pub(super) inboxes: Vec<(ShardId, Vec<JobRecord>)>,
+    /// Jobs that other processes handed over, by receiving shard.
+    pub(super) handed_over: Vec<(ShardId, Vec<JobRecord>)>,
     /// Acquired shards, each with the session that locks it.
     pub(super) acquired: Vec<(ShardId, String, Acquired)>,
 }
@@ -29,9 +30,9 @@
     /// Makes the calls; stops at the first that the store does not answer.
     pub(super) async fn run(self) -> PollResult {
         let mut result = PollResult::default();
-        for shard in self.inboxes {
+        for shard in self.due_inboxes {
             match acquire::read_inbox(&self.store, &shard).await {
-                Ok(records) => result.inboxes.push((shard, records)),
+                Ok(records) => result.handed_over.push((shard, records)),
                 Err(_) => return result,
             }
         }
--- a/testsuite/tests/testsuite/dispatch/recovery.rs
+++ b/testsuite/tests/testsuite/dispatch/recovery.rs
@@ -5,7 +5,7 @@
 use super::world::{BOUNDS, World, job, step};
 
 #[test]
-fn tasks_of_a_silent_worker_start_elsewhere_only_after_their_lease() {
+fn tasks_of_a_silent_worker_start_elsewhere_only_after_its_lease_lapses() {
     let mut world = World::new(3);
     let id = world.submit(1, "push", job(vec![step(1, 1, 20_000)]));
     world.run(1_000);
@@ -20,6 +20,7 @@
         starts[1].at >= lease_end,
         "the first run may still be running"
     );
+    // Allows 500 ms for the start elsewhere once the lease has lapsed.
     assert!(starts[1].at <= silent_since + BOUNDS.lease_ms + 500);
 }
 
@@ -35,11 +36,11 @@
 }
 
 #[test]
-fn a_successor_starts_assignments_that_were_recorded_but_not_ordered() {
+fn a_successor_starts_assignments_that_were_recorded_but_not_started() {
     let mut world = World::new(3);
     world.run(500);
     let id = world.submit(1, "batch", job(vec![step(2, 1, 500)]));
-    // Stops after the commit of the assignment and before the start order.
+    // The old owner fails after the assignment is committed and before the start order is sent.
     while world.records.is_empty() {
         world.run(5);
     }
@@ -50,6 +51,7 @@
     world.take_over();
     world.run(2_000);
     assert_eq!(world.starts_of(id).len(), 2);
+    // The successor uses a new run number.
     assert!(world.starts_of(id).iter().all(|start| start.run == 2));
     assert_eq!(world.state(id), Some(JobState::Completed));
 }
@@ -70,7 +72,7 @@
 }
 
 #[test]
-fn an_owner_without_store_and_most_workers_extends_no_leases() {
+fn an_owner_that_reaches_neither_store_nor_quorum_extends_no_leases() {
     let mut world = World::new(4);
     world.submit(1, "batch", job(vec![step(4, 6, 60_000)]));
     world.run(1_000);
@@ -85,7 +87,7 @@
 }
 
 #[test]
-fn an_owner_without_the_store_continues_with_most_workers() {
+fn an_owner_without_the_store_continues_with_a_quorum() {
     let mut world = World::new(4);
     let id = world.submit(1, "batch", job(vec![step(2, 6, 60_000)]));
     world.run(1_000);
@@ -96,10 +98,11 @@
 }
 
 #[test]
-fn a_fenced_owner_orders_nothing() {
+fn a_fenced_owner_starts_no_runs() {
     let mut world = World::new(2);
     world.run(500);
     for worker in world.workers.values_mut() {
+        // A higher token than the owner's.
         worker.fence = 9;
     }
     world.run(2_000);
--- a/testsuite/tests/testsuite/dispatch/world/mod.rs
+++ b/testsuite/tests/testsuite/dispatch/world/mod.rs
@@ -326,7 +326,7 @@
         let polls = std::mem::take(&mut self.polls);
         for (due, poll) in polls {
             let worker = &self.workers[&poll.name];
-            let has_end = worker.ended.iter().any(|end| end.number > poll.acked);
+            let has_end = worker.ended.iter().any(|end| end.sequence > poll.acked);
             if !worker.silent && !has_end && now < due {
                 self.polls.push((due, poll));
                 continue;
@@ -349,7 +349,7 @@
         }
         worker.fence = fence;
         worker.lease_end = worker.lease_end.max(poll.lease_end.unwrap_or(0));
-        worker.ended.retain(|end| end.number > poll.acked);
+        worker.ended.retain(|end| end.sequence > poll.acked);
         let specs = &self.specs;
         let running = worker.runs.iter().zip(tails).map(|(run, tail)| {
             let spec = &specs[&run.task.job].steps[run.task.step as usize];
--- a/testsuite/tests/testsuite/dispatch/world/worker.rs
+++ b/testsuite/tests/testsuite/dispatch/world/worker.rs
@@ -40,7 +40,7 @@
         let run = self.runs.remove(index);
         self.last_end += 1;
         self.ended.push(EndedEntry {
-            number: self.last_end,
+            sequence: self.last_end,
             task,
             run: run.run,
             cause,
--- a/testsuite/tests/testsuite/gateway/stopping.rs
+++ b/testsuite/tests/testsuite/gateway/stopping.rs
@@ -1,4 +1,4 @@
-//! A planned stop completes the requests in progress, and a leaving upstream gets
+//! A graceful stop completes the requests in progress, and a leaving upstream gets
 //! no new ones.
 
 use std::sync::Arc;
@@ -41,6 +41,7 @@
         .await;
     let request = tokio::spawn(gateway.post("/charge").send());
     upstream.arrived(1).await;
+    // Without the bound, `stop` would wait for the upstream, which never answers.
     gateway.callers.stop().await;
     request.abort();
 }
@@ -58,7 +59,7 @@
     for _ in 0..50 {
         assert_eq!(send(gateway.post("/quote")).await.body, "hello");
     }
-    // The list of workers lags and still shows the upstream as live.
+    // The published host list is stale and still shows the upstream as live.
     let list = [leaving.address, staying.address].map(|at| host("a", at));
     gateway.hosts.send_replace(Arc::new(list.to_vec()));
     for _ in 0..50 {
@@ -71,10 +72,10 @@
 #[test_case(HostState::Dead; "dead")]
 #[tokio::test]
 async fn upstream_not_listed_as_live_gets_no_requests(state: HostState) {
-    let gone = Upstream::answering("gone").await;
+    let not_live = Upstream::answering("gone").await;
     let staying = Upstream::answering("hello").await;
     let gateway = Setup::over(&[staying.address]).start().await;
-    let mut list = [gone.address, staying.address]
+    let mut list = [not_live.address, staying.address]
         .map(|at| host("a", at))
         .to_vec();
     list[0].state = state;
--- a/testsuite/tests/testsuite/placement/queue.rs
+++ b/testsuite/tests/testsuite/placement/queue.rs
@@ -3,12 +3,17 @@
 use std::sync::Arc;
 
 use verbenahitch::domain::{Monotonic, Profile, Resources};
-use verbenahitch::placement::{OfferResult, Placer, Queue};
+use verbenahitch::placement::{OfferResult, Placer, WaitingTasks};
 
 use super::fixture::{Tasks, batch, declarations, workers};
 
 /// Profile names of the first `count` offered tasks, which are placed; the others are declined.
-fn order(queue: &mut Queue, placer: &mut Placer, now: Monotonic, count: usize) -> Vec<String> {
+fn order(
+    queue: &mut WaitingTasks,
+    placer: &mut Placer,
+    now: Monotonic,
+    count: usize,
+) -> Vec<String> {
     let mut names = Vec::new();
     queue.offer_all(placer, now, |_, request| {
         let placed = names.len() < count;
@@ -27,7 +32,7 @@
 #[test]
 fn urgent_tasks_go_first_then_those_of_higher_worth() {
     let mut tasks = Tasks::default();
-    let mut queue = Queue::new();
+    let mut queue = WaitingTasks::new();
     let profiles = [
         (
             "low",
@@ -65,7 +70,7 @@
 fn a_task_of_low_worth_is_not_starved_by_arrivals_of_high_worth() {
     let mut tasks = Tasks::default();
     let mut placer = Placer::new(1);
-    let mut queue = Queue::new();
+    let mut queue = WaitingTasks::new();
     queue.push(
         tasks.request(
             "low",
@@ -108,7 +113,7 @@
     declared.teams.extend(other.teams);
     placer.set_declarations(Arc::new(declared), 1.0);
     tasks.put(&mut placer, all[0], "one", &one);
-    let mut queue = Queue::new();
+    let mut queue = WaitingTasks::new();
     queue.push(tasks.request("one", &one), Monotonic(0));
     queue.push(tasks.request("two", &two), Monotonic(0));
     assert_eq!(
@@ -121,7 +126,7 @@
 fn a_withdrawn_task_is_not_offered_unless_pushed_again() {
     let mut tasks = Tasks::default();
     let mut placer = Placer::new(1);
-    let mut queue = Queue::new();
+    let mut queue = WaitingTasks::new();
     let requests: Vec<_> = (0..3).map(|_| tasks.request("work", &batch())).collect();
     for request in &requests {
         queue.push(request.clone(), Monotonic(0));
@@ -150,7 +155,7 @@
 fn a_declined_profile_does_not_block_others() {
     let mut tasks = Tasks::default();
     let mut placer = Placer::new(1);
-    let mut queue = Queue::new();
+    let mut queue = WaitingTasks::new();
     queue.push(
         tasks.request(
             "large",
@@ -177,7 +182,7 @@
 fn the_next_task_of_a_profile_is_offered_after_a_reservation() {
     let mut tasks = Tasks::default();
     let mut placer = Placer::new(1);
-    let mut queue = Queue::new();
+    let mut queue = WaitingTasks::new();
     let requests: Vec<_> = (0..3).map(|_| tasks.request("urgent", &batch())).collect();
     for request in &requests {
         queue.push(request.clone(), Monotonic(0));
